--- a/src/control/delegate.rs
+++ b/src/control/delegate.rs
@@ -159,7 +159,7 @@
                 );
                 self.operate(member, Operation::Promote(term));
             }
-            Action::AskOpinions(member) => self.tell(NodeMessage::AskOpinions {
+            Action::CheckReachability(member) => self.tell(NodeMessage::AskOpinions {
                 service,
                 member: self.names[member].clone(),
             }),
--- a/src/control/node/members.rs
+++ b/src/control/node/members.rs
@@ -246,7 +246,7 @@
 
     /// Computes guardians in steps that leave the VM's only thread to callers.
     pub(super) fn approach_guardians(&mut self) {
-        let is_done = self.guardians.approach(&self.working, GUARDIAN_STEP);
+        let is_done = self.guardians.converge(&self.working, GUARDIAN_STEP);
         self.knows_guardians = is_done;
     }
 
--- a/src/control/node/orders.rs
+++ b/src/control/node/orders.rs
@@ -46,7 +46,7 @@
     }
 
     pub(super) fn opinions(&mut self, service: &Name, reaches_primary: bool) {
-        self.tell_delegate(service, Event::Opinions { reaches_primary });
+        self.tell_delegate(service, Event::Reachability { reaches_primary });
     }
 
     pub(super) fn answer_reaches(
--- a/src/control/node/rows.rs
+++ b/src/control/node/rows.rs
@@ -36,7 +36,7 @@
         }
         self.due.rows_ms = now_ms + ROWS_INTERVAL_MS;
         let mut services: BTreeSet<Name> =
-            self.guardians.guarded_by(&self.own).into_iter().collect();
+            self.guardians.services_of(&self.own).into_iter().collect();
         services.extend(self.delegates.keys().cloned());
         services.extend(self.slots.keys().cloned());
         for service in services {
@@ -70,7 +70,7 @@
     }
 
     fn is_guardian(&self, service: &Name) -> bool {
-        self.guardians.guardian(service) == Some(&self.own)
+        self.guardians.standby_of(service) == Some(&self.own)
     }
 
     fn read_row_once(&mut self, service: &Name) {
@@ -118,7 +118,7 @@
         }
         let others = self.membership.peers().keys();
         let mut vms = others.choose_multiple(&mut self.rng, ROW_WITNESSES);
-        vms.extend(self.guardians.guardian(service));
+        vms.extend(self.guardians.standby_of(service));
         let addresses: BTreeSet<_> = vms.iter().filter_map(|vm| self.address_of(vm)).collect();
         if addresses.is_empty() {
             return false;
--- a/src/control/node/services.rs
+++ b/src/control/node/services.rs
@@ -253,7 +253,7 @@
             let delegate = known.row.value.delegate.as_ref();
             delegate.is_some_and(|vm| dead.contains(vm))
         });
-        let guardians = lost.filter_map(|(service, _)| self.guardians.guardian(service));
+        let guardians = lost.filter_map(|(service, _)| self.guardians.standby_of(service));
         guardians.filter(|vm| **vm != self.own).cloned().collect()
     }
 
--- a/src/decide/acknowledge.rs
+++ b/src/decide/acknowledge.rs
@@ -20,7 +20,7 @@
 )]
 #[strum(serialize_all = "snake_case")]
 #[serde(rename_all = "snake_case")]
-pub enum Acknowledge {
+pub enum AcknowledgeMode {
     /// A majority of the members holds the commit in the same term.
     #[default]
     Majority,
@@ -56,7 +56,7 @@
 /// What became of a commit whose term ended before it was confirmed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "snake_case")]
-pub enum Fate {
+pub enum CommitOutcome {
     /// The successor's log holds it; it is safe once a majority holds it in
     /// the successor's term.
     Inherited(Commit),
@@ -73,14 +73,19 @@
 /// term ended: a majority is in step with the term of `now`, and every later
 /// primary is chosen from a majority by the term it is in step with. So what
 /// this primary lacks can't come back.
-pub fn fate(commit: &Commit, now: Position, primary: usize, found: Option<u64>) -> Fate {
+pub fn commit_outcome(
+    commit: &Commit,
+    now: Position,
+    primary: usize,
+    found: Option<u64>,
+) -> CommitOutcome {
     if now.term <= commit.position.term {
-        return Fate::Open;
+        return CommitOutcome::Open;
     }
     if found != Some(commit.position.term) {
-        return Fate::Discarded;
+        return CommitOutcome::Discarded;
     }
-    Fate::Inherited(Commit {
+    CommitOutcome::Inherited(Commit {
         position: Position::new(now.term, commit.position.lsn),
         primary,
         ..*commit
@@ -92,8 +97,8 @@
 /// A confirmation in the commit's own term is final: the promotion to any
 /// later term chooses a member that holds the commit, because it hears from
 /// a majority and takes the most advanced.
-pub fn acknowledge(mode: Acknowledge, commit: &Commit, members: &[MemberView]) -> Decision {
-    if mode == Acknowledge::Primary {
+pub fn acknowledge(mode: AcknowledgeMode, commit: &Commit, members: &[MemberView]) -> Decision {
+    if mode == AcknowledgeMode::Primary {
         return Decision::Acknowledge;
     }
     let others = members
@@ -102,7 +107,7 @@
         .filter(|(i, _)| *i != commit.primary)
         .filter_map(|(_, m)| m.observation);
     let confirms = |o: &super::member::Observation| match mode {
-        Acknowledge::Term => {
+        AcknowledgeMode::Term => {
             o.status.term == commit.position.term && o.is_after(commit.answered_ms)
         }
         _ => o.status.confirms(commit.position),
--- a/src/decide/barrier.rs
+++ b/src/decide/barrier.rs
@@ -4,7 +4,7 @@
 //! majority of the members stood by its term after the question came.
 
 use super::{
-    acknowledge::Acknowledge,
+    acknowledge::AcknowledgeMode,
     member::{MemberStatus, MemberView, Role},
 };
 use crate::prelude::*;
@@ -19,9 +19,9 @@
 /// that are in step with the term holds every acknowledged commit, so the
 /// least advanced majority will do: the session need not wait for commits that
 /// nobody was told of. Otherwise it is the primary's position.
-pub fn barrier(mode: Acknowledge, members: &[MemberView], arrived_ms: u64) -> Option<Position> {
+pub fn barrier(mode: AcknowledgeMode, members: &[MemberView], arrived_ms: u64) -> Option<Position> {
     match mode {
-        Acknowledge::Majority => quorum_barrier(members, arrived_ms),
+        AcknowledgeMode::Majority => quorum_barrier(members, arrived_ms),
         _ => primary_barrier(members, arrived_ms),
     }
 }
--- a/src/decide/dispatch.rs
+++ b/src/decide/dispatch.rs
@@ -85,7 +85,7 @@
 
 impl ConnectionBudget {
     /// Connections that this VM may hold whatever the others do.
-    pub fn fair(&self) -> usize {
+    pub fn fair_share(&self) -> usize {
         (dealt(self.connections_max) / self.shares.max(1)).max(1)
     }
 
@@ -102,8 +102,8 @@
     /// them back when they are idle.
     pub fn limit(&self, own: usize) -> usize {
         match self.has_room() {
-            true => self.fair().max(own + 1),
-            false => self.fair(),
+            true => self.fair_share().max(own + 1),
+            false => self.fair_share(),
         }
     }
 
@@ -115,7 +115,7 @@
     /// room for the new ones.
     pub fn is_surplus(&self, own: usize, idle_ms: u64) -> bool {
         let is_idle = own > 1 && idle_ms >= IDLE_MS;
-        is_idle || (own > self.fair() && !self.has_room())
+        is_idle || (own > self.fair_share() && !self.has_room())
     }
 }
 
@@ -126,12 +126,12 @@
 
 /// The part of them that a region gets: callers come to VMs that are near, so
 /// the regions share first.
-pub fn dealt_to_region(connections_max: usize, regions: usize) -> usize {
+pub fn connections_for_region(connections_max: usize, regions: usize) -> usize {
     dealt(connections_max) / regions.max(1)
 }
 
 /// Equal shares that the connections to a member are dealt out in, as seen
 /// from a region in which `holders` VMs hold connections.
-pub fn shares(regions: usize, holders: usize) -> usize {
+pub fn share_count(regions: usize, holders: usize) -> usize {
     regions.max(1) * holders.max(1)
 }
--- a/src/decide/failover.rs
+++ b/src/decide/failover.rs
@@ -132,7 +132,7 @@
             Event::Tick => {}
             Event::Probed { member, status } => self.record(now_ms, member, status),
             Event::TrafficFailed => self.probe_now(),
-            Event::Opinions { reaches_primary } => self.hear_opinions(reaches_primary),
+            Event::Reachability { reaches_primary } => self.hear_opinions(reaches_primary),
             Event::Raised { member, status } => self.hear_raise(now_ms, member, status),
             Event::Promoted { member, status } => {
                 return self.hear_promotion(now_ms, member, status);
--- a/src/decide/failover/action.rs
+++ b/src/decide/failover/action.rs
@@ -6,7 +6,7 @@
     /// Ask a member for its report.
     Probe(usize),
     /// Ask the other slot holders whether they reach the primary.
-    AskOpinions(usize),
+    CheckReachability(usize),
     /// Raise the term on a member.
     Raise {
         /// Index of the member.
--- a/src/decide/failover/doubt.rs
+++ b/src/decide/failover/doubt.rs
@@ -94,6 +94,6 @@
             return Vec::new();
         }
         *opinions_asked_ms = Some(now_ms);
-        primary.map(Action::AskOpinions).into_iter().collect()
+        primary.map(Action::CheckReachability).into_iter().collect()
     }
 }
--- a/src/decide/failover/event.rs
+++ b/src/decide/failover/event.rs
@@ -17,7 +17,7 @@
     /// Requests to the primary failed.
     TrafficFailed,
     /// The other slot holders said whether any of them reaches the primary.
-    Opinions {
+    Reachability {
         /// Whether one reaches it.
         reaches_primary: bool,
     },
--- a/src/decide/holders.rs
+++ b/src/decide/holders.rs
@@ -6,7 +6,7 @@
 
 use std::cmp::Ordering;
 
-use super::{dispatch::dealt_to_region, placement::score};
+use super::{dispatch::connections_for_region, placement::score};
 use crate::prelude::*;
 
 /// Fewest connections that a holder has. Transactions that pause hold about half
@@ -32,19 +32,19 @@
 
 /// How a VM reaches a member.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Way {
+pub enum MemberPath {
     /// On connections of its own.
     Direct,
     /// Through another VM.
     Through(Name),
 }
 
-impl Way {
+impl MemberPath {
     /// Name of the VM that it leads through, for logs.
     pub fn through(&self) -> &str {
         match self {
-            Way::Direct => "none",
-            Way::Through(vm) => vm,
+            MemberPath::Direct => "none",
+            MemberPath::Through(vm) => vm,
         }
     }
 }
@@ -61,7 +61,7 @@
     region: &Name,
 ) -> Option<Vec<Name>> {
     let regions: BTreeSet<&Name> = vms.values().map(|vm| &vm.region).collect();
-    let dealt = dealt_to_region(connections_max, regions.len());
+    let dealt = connections_for_region(connections_max, regions.len());
     let here = vms.iter().filter(|(_, vm)| vm.region == *region);
     let here: Vec<(&Name, &VmPlace)> = here.collect();
     if here.len() <= dealt.max(1) {
@@ -76,14 +76,14 @@
 /// A holder goes itself, and through others while it is cut off from the
 /// member. Any other VM goes through holders of its region, then of others, and
 /// itself only when none of them answers.
-pub fn ways(
+pub fn member_paths(
     own: &Name,
     member: &str,
     connections_max: usize,
     vms: &BTreeMap<Name, VmPlace>,
-) -> Vec<Way> {
+) -> Vec<MemberPath> {
     let Some(place) = vms.get(own) else {
-        return vec![Way::Direct];
+        return vec![MemberPath::Direct];
     };
     // Each VM ranks the others differently, so that the load spreads.
     let key = format!("{own}/{member}");
@@ -104,10 +104,10 @@
     let far: Vec<(&Name, &VmPlace)> = others.flat_map(holders_in).collect();
     let near = ranked(&key, AS_WAY, holders_in(&place.region), SPARE_WAYS / 2);
     let far = ranked(&key, AS_WAY, far, SPARE_WAYS - near.len());
-    let through = near.into_iter().chain(far).map(Way::Through);
+    let through = near.into_iter().chain(far).map(MemberPath::Through);
     match is_holder {
-        true => std::iter::once(Way::Direct).chain(through).collect(),
-        false => through.chain(std::iter::once(Way::Direct)).collect(),
+        true => std::iter::once(MemberPath::Direct).chain(through).collect(),
+        false => through.chain(std::iter::once(MemberPath::Direct)).collect(),
     }
 }
 
--- a/src/decide/standing.rs
+++ b/src/decide/leadership.rs
@@ -5,7 +5,7 @@
 
 /// What another member said of its term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Testimony {
+pub struct TermReport {
     /// Time the question was sent, in microseconds.
     pub asked_us: u64,
     /// Term that the member stands by, or is held for by a replacement of the
@@ -15,14 +15,14 @@
 
 /// What is known about a term at a moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum LeadershipCheck {
     /// Enough of the other members stand by this term or an earlier one.
-    Proved {
+    Confirmed {
         /// Highest term among them.
         term: u64,
     },
     /// More testimonies are needed.
-    Open,
+    Pending,
 }
 
 /// Number of other members whose testimony proves that a member of a group of
@@ -31,7 +31,7 @@
 /// A successor acknowledges a commit together with one more member, so it is
 /// enough that at most one of the others has not been heard. Without
 /// synchronous replicas it acknowledges alone, and all must be heard.
-pub fn testimonies_needed(members: usize, sync_replicas: u32) -> usize {
+pub fn term_reports_needed(members: usize, sync_replicas: u32) -> usize {
     let others = members.saturating_sub(1);
     match sync_replicas {
         0 => others,
@@ -40,18 +40,22 @@
 }
 
 /// Weighs the testimonies of the other members, asked for after `since_us`.
-pub fn standing(others: impl Iterator<Item = Testimony>, since_us: u64, needed: usize) -> Standing {
+pub fn check_leadership(
+    others: impl Iterator<Item = TermReport>,
+    since_us: u64,
+    needed: usize,
+) -> LeadershipCheck {
     let mut terms: Vec<u64> = others
         .filter(|t| t.asked_us > since_us)
         .map(|t| t.term)
         .collect();
     if terms.len() < needed {
-        return Standing::Open;
+        return LeadershipCheck::Pending;
     }
     // A later term refutes the proof even where enough others stand by an
     // earlier one.
     terms.sort_unstable();
-    Standing::Proved {
+    LeadershipCheck::Confirmed {
         term: terms.last().copied().unwrap_or(0),
     }
 }
@@ -81,7 +85,7 @@
 
 /// Members to ask, nearest first, when `needed` testimonies are to come:
 /// `others` gives distance and failures of each.
-pub fn witnesses(others: &BTreeMap<Name, (u32, u32)>, needed: usize) -> Vec<Name> {
+pub fn members_to_ask(others: &BTreeMap<Name, (u32, u32)>, needed: usize) -> Vec<Name> {
     let mut ranked: Vec<(&Name, &(u32, u32))> = others.iter().collect();
     ranked.sort_by_key(|(name, (distance, failures))| (*failures, *distance, (*name).clone()));
     let chosen = ranked.into_iter().take(needed);
--- a/src/decide/placement.rs
+++ b/src/decide/placement.rs
@@ -65,7 +65,10 @@
 
 /// VM with the highest score for a service: its guardian, which claims the
 /// service when the delegate in its row is gone.
-pub fn guardian<'a>(service: &str, vms: impl Iterator<Item = &'a Name>) -> Option<&'a Name> {
+pub fn standby_delegate<'a>(
+    service: &str,
+    vms: impl Iterator<Item = &'a Name>,
+) -> Option<&'a Name> {
     vms.max_by_key(|vm| score(service, WHOLE, vm))
 }
 
@@ -126,7 +129,7 @@
 /// A VM that joins costs one score per service; a VM that leaves costs one
 /// score per VM for each service it guarded.
 #[derive(Clone, Debug, Default)]
-pub struct GuardianMap {
+pub struct StandbyMap {
     vms: BTreeMap<Name, u64>,
     services: BTreeMap<Name, Guarded>,
 }
@@ -154,9 +157,9 @@
     }
 }
 
-impl GuardianMap {
+impl StandbyMap {
     /// Adds services. Many at once make the map start over with no VM, so that
-    /// [`GuardianMap::approach`] can spread the work.
+    /// [`StandbyMap::converge`] can spread the work.
     pub fn add_services<'a>(&mut self, services: impl Iterator<Item = &'a Name>) {
         let known = &self.services;
         let new: Vec<Name> = services
@@ -207,7 +210,7 @@
 
     /// Makes the VMs more like `vms`, with at most `most` changes; `true` once
     /// they are equal. Before that, guardians are not final.
-    pub fn approach(&mut self, vms: &BTreeSet<Name>, most: usize) -> bool {
+    pub fn converge(&mut self, vms: &BTreeSet<Name>, most: usize) -> bool {
         let gone = self.vms.keys().filter(|vm| !vms.contains(*vm));
         let gone: Vec<Name> = gone.take(most).cloned().collect();
         for vm in &gone {
@@ -223,13 +226,13 @@
     }
 
     /// Guardian of a service.
-    pub fn guardian(&self, service: &str) -> Option<&Name> {
+    pub fn standby_of(&self, service: &str) -> Option<&Name> {
         let guarded = self.services.get(service)?;
         guarded.best.as_ref().map(|(_, vm)| vm)
     }
 
     /// Services that a VM guards.
-    pub fn guarded_by(&self, vm: &str) -> Vec<Name> {
+    pub fn services_of(&self, vm: &str) -> Vec<Name> {
         let is_its = |guarded: &Guarded| guarded.best.as_ref().is_some_and(|(_, g)| **g == *vm);
         let services = self.services.iter().filter(|(_, g)| is_its(g));
         services.map(|(service, _)| service.clone()).collect()
--- a/src/decide/rollout.rs
+++ b/src/decide/rollout.rs
@@ -105,7 +105,7 @@
 
     /// The head as it is told to other VMs: with only its latest changes. Who
     /// is further behind asks for them.
-    pub fn for_news(&self) -> Head {
+    pub fn for_peers(&self) -> Head {
         let surplus = self.changes.len().saturating_sub(NEWS_CHANGES);
         Head {
             version: self.version,
--- a/src/decide/takeover.rs
+++ b/src/decide/takeover.rs
@@ -127,10 +127,10 @@
     pub others_answer: bool,
     /// Whether this VM is to go to the primary itself. Silence at the end of
     /// another VM's connections may be that VM's.
-    pub goes_itself: bool,
+    pub connects_to_primary: bool,
     /// Whether this VM is to go to any of the members itself: many others only
     /// go through such VMs, and leave the service to them.
-    pub looks_after: bool,
+    pub connects_to_any_member: bool,
 }
 
 /// A commit that waits at a primary which answers.
@@ -138,12 +138,12 @@
 /// It is stuck only once a replica was seen to lack what the primary holds. A
 /// late answer alone may be lost, or the primary may have much to do.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Stuck {
+pub struct StuckCommit {
     position: Option<Position>,
     lacking_since_ms: Option<u64>,
 }
 
-impl Stuck {
+impl StuckCommit {
     /// Takes the position that the primary reported while the commit waits.
     pub fn note_primary(&mut self, received: Position) {
         self.position.get_or_insert(received);
@@ -206,15 +206,15 @@
 }
 
 /// Decides whether the primary is to be replaced.
-pub fn doubt(health: &PrimaryHealth, settings: &TakeoverSettings) -> Option<Reason> {
-    if !health.others_answer || !health.looks_after {
+pub fn replacement_reason(health: &PrimaryHealth, settings: &TakeoverSettings) -> Option<Reason> {
+    if !health.others_answer || !health.connects_to_any_member {
         return None;
     }
     if !health.is_known {
         return (health.missing_ms >= settings.missing_ms).then_some(Reason::NoPrimary);
     }
     let is_silent = health.failures >= settings.failures && health.silent_ms >= settings.silent_ms;
-    if is_silent && health.goes_itself {
+    if is_silent && health.connects_to_primary {
         return Some(Reason::Silent);
     }
     if health.is_leaving {
--- a/src/proxy/caller.rs
+++ b/src/proxy/caller.rs
@@ -27,7 +27,7 @@
 use crate::{
     clock,
     decide::{
-        acknowledge::{Acknowledge, Commit, Decision, Fate, fate},
+        acknowledge::{AcknowledgeMode, Commit, CommitOutcome, Decision, commit_outcome},
         classify::Class,
         retry::Backoff,
         route::Floor,
@@ -307,12 +307,12 @@
         ));
     };
     slot.release(granted.link, true, 0);
-    match fate(&commit, now, member, found) {
-        Fate::Discarded => {
+    match commit_outcome(&commit, now, member, found) {
+        CommitOutcome::Discarded => {
             let text = "the primary failed before the commit was safe; it was not run";
             Err(Refusal::new(Code::TransactionDiscarded, text))
         }
-        Fate::Inherited(commit) if slot.confirm(commit).await == Decision::Acknowledge => {
+        CommitOutcome::Inherited(commit) if slot.confirm(commit).await == Decision::Acknowledge => {
             Ok(commit.position)
         }
         _ => Err(unknown("the commit was not confirmed")),
--- a/src/proxy/caller/conclude.rs
+++ b/src/proxy/caller/conclude.rs
@@ -140,7 +140,7 @@
 
     pub(super) fn acknowledges_by_majority(&self) -> bool {
         let route = self.context.route(&self.session.service);
-        route.is_some_and(|r| r.settings.acknowledge == Acknowledge::Majority)
+        route.is_some_and(|r| r.settings.acknowledge == AcknowledgeMode::Majority)
     }
 
     pub(super) fn release(&mut self, held: Held, is_clean: bool) {
--- a/src/relay/link.rs
+++ b/src/relay/link.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 
 use super::socket::Socket;
-use crate::{decide::holders::Way, prelude::*, proxy::link::Permit};
+use crate::{decide::holders::MemberPath, prelude::*, proxy::link::Permit};
 
 /// Values of a session, by name.
 pub type Values = BTreeMap<Bytes, Bytes>;
@@ -18,7 +18,7 @@
     /// Id of the member.
     pub member: Name,
     /// How it leads there.
-    pub way: Way,
+    pub way: MemberPath,
     /// Values that are set on it.
     pub values: Values,
     /// Names of the statements that are prepared on it.
--- a/src/relay/member.rs
+++ b/src/relay/member.rs
@@ -9,8 +9,8 @@
     clock,
     decide::{
         admission::AdmissionQueue,
-        dispatch::{ConnectionBudget, shares},
-        holders::Way,
+        dispatch::{ConnectionBudget, share_count},
+        holders::MemberPath,
         member::Role,
         window::Window,
     },
@@ -67,7 +67,7 @@
     /// Distance from this VM: 0 to 2.
     pub distance: u32,
     /// Ways to reach it, best first; never empty.
-    ways: Vec<Way>,
+    ways: Vec<MemberPath>,
     /// Index of the one in use.
     way: usize,
     /// Index of the last other one that was tried, or zero.
@@ -122,7 +122,7 @@
             unlisted_since_ms: None,
             leaving_since_ms: None,
             distance,
-            ways: vec![Way::Direct],
+            ways: vec![MemberPath::Direct],
             way: 0,
             spare_way: 0,
             retry_best_ms: 0,
@@ -206,17 +206,17 @@
         let recent = self.report.filter(|(at, _)| now_us < at + COUNT_AGE_US);
         match self.way() {
             // What others hold for this VM is not for it to take as well.
-            Way::Direct if !self.is_own() => ConnectionBudget {
+            MemberPath::Direct if !self.is_own() => ConnectionBudget {
                 connections_max,
                 shares: connections_max,
                 reported: None,
             },
-            Way::Direct => ConnectionBudget {
+            MemberPath::Direct => ConnectionBudget {
                 connections_max,
                 shares: self.shares,
                 reported: recent.map(|(_, report)| report.connections),
             },
-            Way::Through(_) => ConnectionBudget {
+            MemberPath::Through(_) => ConnectionBudget {
                 connections_max: FORWARDED_MAX,
                 shares: 1,
                 reported: None,
@@ -226,11 +226,11 @@
 
     /// Whether this VM is to go there itself.
     pub fn is_own(&self) -> bool {
-        self.ways[0] == Way::Direct
+        self.ways[0] == MemberPath::Direct
     }
 
     /// The way in use.
-    pub fn way(&self) -> &Way {
+    pub fn way(&self) -> &MemberPath {
         &self.ways[self.way]
     }
 
@@ -241,7 +241,7 @@
 
     /// The way by which the next question goes: now and then the best one,
     /// while it is not the one in use.
-    pub fn probe_way(&mut self, now_ms: u64) -> Way {
+    pub fn probe_way(&mut self, now_ms: u64) -> MemberPath {
         if !self.is_best_due(now_ms) {
             return self.way().clone();
         }
@@ -251,7 +251,7 @@
 
     /// Takes note that the member answered by a way: it is used from now on if
     /// it is a better one, or if the one in use has failed.
-    pub fn note_answer(&mut self, way: &Way) {
+    pub fn note_answer(&mut self, way: &MemberPath) {
         let known = self.ways.iter().position(|w| w == way);
         if let Some(index) = known.filter(|index| *index < self.way || self.failures > 0) {
             self.use_way(index);
@@ -281,8 +281,8 @@
 
     /// Takes the ways that lead to it, and the shares of its connections. The
     /// way in use stays in use if it is still among them.
-    pub fn set_ways(&mut self, ways: Vec<Way>, regions: usize, holders: usize) {
-        self.shares = shares(regions, holders);
+    pub fn set_ways(&mut self, ways: Vec<MemberPath>, regions: usize, holders: usize) {
+        self.shares = share_count(regions, holders);
         if ways.is_empty() || ways == self.ways {
             return;
         }
--- a/src/relay/message.rs
+++ b/src/relay/message.rs
@@ -9,7 +9,7 @@
     link::{Link, Values},
     takeover::Rival,
 };
-use crate::{decide::holders::Way, prelude::*};
+use crate::{decide::holders::MemberPath, prelude::*};
 
 /// How fresh a member's log must be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -144,7 +144,7 @@
         /// Id of the member.
         member: Name,
         /// How it was asked.
-        way: Way,
+        way: MemberPath,
         /// Time it was asked, in microseconds.
         asked_us: u64,
         /// The report, and the connection that it came on.
--- a/src/relay/open.rs
+++ b/src/relay/open.rs
@@ -9,7 +9,7 @@
     MemberCodec, MemberRequest, RelayError, Result, exchange::read_answer, link::Link,
     socket::Socket,
 };
-use crate::{decide::holders::Way, prelude::*, proxy::link::Permit};
+use crate::{decide::holders::MemberPath, prelude::*, proxy::link::Permit};
 
 /// Longest time to open a connection: three trips to another region and back,
 /// the member's work and a full queue there.
@@ -23,7 +23,7 @@
     /// Id of the member.
     pub member: Name,
     /// How it is reached.
-    pub way: Way,
+    pub way: MemberPath,
     /// Address of the member, or of the VM that the way leads through.
     pub address: SocketAddr,
 }
--- a/src/relay/service.rs
+++ b/src/relay/service.rs
@@ -24,9 +24,9 @@
     clock,
     decide::{
         age::AgeTracker,
-        holders::Way,
+        holders::MemberPath,
         member::Role,
-        takeover::{Reason, Stuck},
+        takeover::{Reason, StuckCommit},
     },
     decision_log::decision,
     metrics::{Metrics, label, name_label},
@@ -89,7 +89,7 @@
     reports: Vec<PendingReport>,
     refresh_since_us: Option<u64>,
     ages: AgeTracker,
-    stuck: Option<Stuck>,
+    stuck: Option<StuckCommit>,
     takeover: Takeover,
 }
 
--- a/src/relay/service/probe.rs
+++ b/src/relay/service/probe.rs
@@ -2,8 +2,9 @@
 
 use super::*;
 use crate::{
-    decide::standing::{
-        Standing, Testimony, received_by_others, standing, testimonies_needed, witnesses,
+    decide::leadership::{
+        LeadershipCheck, TermReport, check_leadership, members_to_ask, received_by_others,
+        term_reports_needed,
     },
     relay::{MemberCodec, MemberRequest, RelayError, Result, StatusReport, exchange, link::Link},
 };
@@ -108,7 +109,7 @@
     pub(super) fn probed(
         &mut self,
         id: &Name,
-        way: &Way,
+        way: &MemberPath,
         asked_us: u64,
         result: Result<(Link, StatusReport)>,
     ) {
@@ -148,7 +149,7 @@
             // The VM on the way does not reach it, but is well.
             Err(RelayError::Refused {
                 class: ErrorClass::WrongMember,
-            }) if *way != Way::Direct => {
+            }) if *way != MemberPath::Direct => {
                 member.use_next_way();
                 member.next_probe_ms = now_ms + REFUSED_PAUSE_MS;
                 self.want_probe(id, asked_us);
@@ -185,14 +186,14 @@
             let standing = self.standing(&proof.primary, proof.since_us);
             let is_late = now_us >= proof.since_us + PROOF_TIMEOUT_US;
             match standing {
-                Standing::Proved { term } => {
+                LeadershipCheck::Confirmed { term } => {
                     // The caller may have gone away.
                     let _ = proof.reply.send(Some(term));
                 }
-                Standing::Open if is_late => {
+                LeadershipCheck::Pending if is_late => {
                     let _ = proof.reply.send(None);
                 }
-                Standing::Open => {
+                LeadershipCheck::Pending => {
                     self.ask_witnesses(&proof.primary, proof.since_us);
                     self.proofs.push(proof);
                 }
@@ -203,17 +204,17 @@
     fn needed(&self) -> usize {
         let now_ms = clock::boot_ms();
         let counted = self.members.values().filter(|m| !m.is_lost(now_ms));
-        testimonies_needed(counted.count(), self.entry.sync_replicas)
+        term_reports_needed(counted.count(), self.entry.sync_replicas)
     }
 
-    fn standing(&self, primary: &Name, since_us: u64) -> Standing {
+    fn standing(&self, primary: &Name, since_us: u64) -> LeadershipCheck {
         let others = self.members.iter().filter(|(id, _)| *id != primary);
         let reports = others.filter_map(|(_, m)| m.report);
-        let testimonies = reports.map(|(asked_us, report)| Testimony {
+        let testimonies = reports.map(|(asked_us, report)| TermReport {
             asked_us,
             term: report.term.max(report.held_term),
         });
-        standing(testimonies, since_us, self.needed())
+        check_leadership(testimonies, since_us, self.needed())
     }
 
     fn ask_witnesses(&mut self, primary: &Name, since_us: u64) {
@@ -228,7 +229,7 @@
             true => others.len(),
             false => self.needed(),
         };
-        for id in witnesses(&others, needed) {
+        for id in members_to_ask(&others, needed) {
             self.want_report_since(&id, since_us);
         }
     }
@@ -304,7 +305,7 @@
 
     fn proved_position(&self, primary: &Name, since_us: u64) -> Option<Position> {
         let (asked_us, report) = self.members.get(primary)?.report?;
-        let Standing::Proved { term } = self.standing(primary, since_us) else {
+        let LeadershipCheck::Confirmed { term } = self.standing(primary, since_us) else {
             return None;
         };
         let leads = asked_us > since_us && report.leads_against(term);
--- a/src/relay/service/reports.rs
+++ b/src/relay/service/reports.rs
@@ -33,7 +33,7 @@
         let Some(member) = self.members.get(&pending.member) else {
             return Some(Err(NoReport::NotReached));
         };
-        if *member.way() != Way::Direct {
+        if *member.way() != MemberPath::Direct {
             return Some(Err(NoReport::NotReached));
         }
         match member.report {
--- a/src/relay/service/watch.rs
+++ b/src/relay/service/watch.rs
@@ -4,7 +4,7 @@
 
 use super::*;
 use crate::{
-    decide::takeover::{PrimaryHealth, TakeoverSettings, doubt},
+    decide::takeover::{PrimaryHealth, TakeoverSettings, replacement_reason},
     relay::{
         StatusReport,
         takeover::{self, Rival, TakeoverPlan},
@@ -72,7 +72,7 @@
             held_ms: held.map_or(0, |at| now_us.saturating_sub(at) / 1_000),
             stuck_ms: self.stuck.map_or(0, |stuck| stuck.stuck_ms(now_ms)),
             missing_ms: now_ms.saturating_sub(self.missing_since_ms),
-            looks_after: self.looks_after(),
+            connects_to_any_member: self.looks_after(),
             ..PrimaryHealth::default()
         };
         let Some((id, primary)) = self
@@ -88,7 +88,7 @@
         health.is_known = true;
         health.is_leaving = primary.is_going(now_ms);
         health.failures = primary.failures;
-        health.goes_itself = primary.is_own();
+        health.connects_to_primary = primary.is_own();
         health.silent_ms = since.map_or(0, |at| now_us.saturating_sub(at) / 1_000);
         health.others_answer = others.into_iter().any(|(_, m)| is_recent(m));
         health
@@ -97,7 +97,7 @@
     pub(super) fn watch_primary(&mut self, now_ms: u64) {
         let health = self.health(now_ms);
         self.ask_in_doubt(&health);
-        let reason = doubt(&health, &SETTINGS);
+        let reason = replacement_reason(&health, &SETTINGS);
         match (self.takeover, reason) {
             (Takeover::Pausing { until_ms }, _) if now_ms >= until_ms => {
                 self.takeover = Takeover::Calm;
@@ -148,7 +148,7 @@
             target: Target {
                 service: self.context.service.clone(),
                 member: id.clone(),
-                way: Way::Direct,
+                way: MemberPath::Direct,
                 address: m.entry.address,
             },
             is_primary: self.primary.as_ref() == Some(id),
--- a/src/relay/service/ways.rs
+++ b/src/relay/service/ways.rs
@@ -1,7 +1,7 @@
 //! Ways to the members: direct, or through VMs that hold connections to them.
 
 use super::*;
-use crate::decide::holders::{holders, ways};
+use crate::decide::holders::{holders, member_paths};
 
 impl Service {
     pub(super) fn change_vms(&mut self, vms: Rc<Vms>) {
@@ -32,7 +32,7 @@
             let chosen = holders(id, connections_max, places, region);
             let holders = chosen.map_or(here, |chosen| chosen.len());
             let before = member.way().clone();
-            let ways = ways(own, id, connections_max, places);
+            let ways = member_paths(own, id, connections_max, places);
             member.set_ways(ways, regions.len(), holders);
             if before != *member.way() {
                 decision!(
@@ -50,11 +50,11 @@
         self.target_by(id, member.way())
     }
 
-    pub(super) fn target_by(&self, id: &Name, way: &Way) -> Option<Target> {
+    pub(super) fn target_by(&self, id: &Name, way: &MemberPath) -> Option<Target> {
         let member = self.members.get(id)?;
         let address = match way {
-            Way::Direct => member.entry.address,
-            Way::Through(vm) => *self.vms.addresses.get(vm)?,
+            MemberPath::Direct => member.entry.address,
+            MemberPath::Through(vm) => *self.vms.addresses.get(vm)?,
         };
         Some(Target {
             service: self.context.service.clone(),
@@ -74,6 +74,6 @@
     /// statements through it.
     pub(super) fn reaches(&self, id: &Name) -> bool {
         let member = self.members.get(id);
-        member.is_some_and(|m| *m.way() == Way::Direct && m.failures == 0)
+        member.is_some_and(|m| *m.way() == MemberPath::Direct && m.failures == 0)
     }
 }
--- a/src/settings/service.rs
+++ b/src/settings/service.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{MemberPart, MemberSettings, Result, SettingsError, part::part};
-use crate::{decide::acknowledge::Acknowledge, prelude::*};
+use crate::{decide::acknowledge::AcknowledgeMode, prelude::*};
 
 /// Fewest members of a service that can lose one.
 const MEMBERS_MIN: usize = 3;
@@ -29,7 +29,7 @@
         database: String,
         /// What must be known before a commit is acknowledged.
         #[garde(skip)]
-        acknowledge: Acknowledge,
+        acknowledge: AcknowledgeMode,
         /// Longest wait for the confirmation of a commit, in milliseconds.
         #[garde(range(min = 1, max = 600_000))]
         acknowledge_wait_ms: u64,
@@ -67,7 +67,7 @@
     pub database: Name,
     /// What must be known before a commit is acknowledged.
     #[builder(default)]
-    pub acknowledge: Acknowledge,
+    pub acknowledge: AcknowledgeMode,
     /// Longest wait for the confirmation of a commit, in milliseconds.
     #[builder(default = 5_000)]
     pub acknowledge_wait_ms: u64,
--- a/standin/src/load/slopes.rs
+++ b/standin/src/load/slopes.rs
@@ -16,13 +16,13 @@
         service_row::ServiceRow,
     },
     decide::{
-        acknowledge::{Acknowledge, Commit, acknowledge},
+        acknowledge::{AcknowledgeMode, Commit, acknowledge},
         age::AgeTracker,
         classify::classify,
         failover::{Event, Failover, FailoverSettings},
         member::{MemberStatus, MemberView, Observation, Role},
         membership::{Change, Liveness, Membership, MembershipSettings, Place},
-        placement::{Candidate, GuardianMap, place},
+        placement::{Candidate, StandbyMap, place},
         rollout::{ChangeRef, Head, SiteChange},
         route::{Floor, ReadRequest, route},
     },
@@ -96,7 +96,7 @@
 
 fn measure_guardians(vms: usize, counter: &Counter) {
     let services = (vms as f64 * SERVICES_PER_VM) as usize;
-    let mut guardians = GuardianMap::default();
+    let mut guardians = StandbyMap::default();
     let names: BTreeSet<_> = (0..vms).map(vm_name).collect();
     let memory = Region::new(counter);
     let started = Instant::now();
@@ -108,7 +108,7 @@
     let mut is_done = false;
     while !is_done {
         let step = Instant::now();
-        is_done = guardians.approach(&names, GUARDIAN_STEP);
+        is_done = guardians.converge(&names, GUARDIAN_STEP);
         longest_step = longest_step.max(step.elapsed());
     }
     let build = started.elapsed();
@@ -123,7 +123,7 @@
     let started = Instant::now();
     let mut guarded = 0;
     for index in 0..rounds {
-        guarded += guardians.guarded_by(&vm_name(index)).len();
+        guarded += guardians.services_of(&vm_name(index)).len();
     }
     let look = started.elapsed() / rounds as u32;
     print(json!({
@@ -331,7 +331,7 @@
     let sql = "SELECT name, stock FROM shades WHERE colour = 7 AND shop = 12 ORDER BY name";
     time("route", || route(&request, &members, &ages, 2));
     time("acknowledge", || {
-        acknowledge(Acknowledge::Majority, &commit, &members)
+        acknowledge(AcknowledgeMode::Majority, &commit, &members)
     });
     time("classify, parsed", || classify(sql));
     time("classify, seen before", || {
--- a/tests/decide_control.rs
+++ b/tests/decide_control.rs
@@ -6,7 +6,7 @@
     decide::{
         admission::{Admission, AdmissionQueue},
         membership::{Change, Liveness, Membership, MembershipSettings, Place},
-        placement::{Candidate, GuardianMap, Reason, guardian, place},
+        placement::{Candidate, Reason, StandbyMap, place, standby_delegate},
         rollout::{ChangeRef, Head, Plan, SiteChange},
     },
     prelude::Name,
@@ -65,19 +65,22 @@
 
 #[test]
 fn the_guardian_map_agrees_with_the_whole_computation() {
-    let mut map = GuardianMap::default();
+    let mut map = StandbyMap::default();
     let services: Vec<Name> = (0..50).map(|i| format!("s-{i}").into()).collect();
     map.add_services(services.iter());
     let mut vms = names(20);
     for gone in [0, 7, 19] {
         // In steps of three, as a daemon does it in larger ones.
-        while !map.approach(&vms, 3) {}
+        while !map.converge(&vms, 3) {}
         for service in &services {
-            assert_eq!(map.guardian(service), guardian(service, vms.iter()));
+            assert_eq!(
+                map.standby_of(service),
+                standby_delegate(service, vms.iter())
+            );
         }
         vms.remove(&*format!("vm-{gone}"));
     }
-    let guarded: usize = vms.iter().map(|vm| map.guarded_by(vm).len()).sum();
+    let guarded: usize = vms.iter().map(|vm| map.services_of(vm).len()).sum();
     assert!(guarded <= services.len());
 }
 
@@ -188,7 +191,7 @@
 
 #[test]
 fn news_that_name_too_little_send_to_the_row() {
-    let news = head(40).for_news();
+    let news = head(40).for_peers();
     assert_eq!(refs(&news.plan(Some(38))), Some(2));
     assert_eq!(news.plan(Some(37)), Plan::ReadRow);
     assert_eq!(news.plan(None), Plan::ReadRow);
--- a/tests/decide_failover.rs
+++ b/tests/decide_failover.rs
@@ -116,7 +116,7 @@
                 member: *member,
                 status: Some(status(Role::Primary, *term, *term, 9, 0)),
             },
-            Command::Opinions { reaches } => Event::Opinions {
+            Command::Opinions { reaches } => Event::Reachability {
                 reaches_primary: *reaches,
             },
             Command::Reserved { from, until } => Event::Reserved {
--- a/tests/decide_reads.rs
+++ b/tests/decide_reads.rs
@@ -3,7 +3,9 @@
 
 use foxtailknot::{
     decide::{
-        acknowledge::{Acknowledge, Commit, Decision, Fate, acknowledge, fate},
+        acknowledge::{
+            AcknowledgeMode, Commit, CommitOutcome, Decision, acknowledge, commit_outcome,
+        },
         age::AgeTracker,
         barrier::barrier,
         member::{MemberStatus, MemberView, Observation, Role, asked_after},
@@ -69,7 +71,7 @@
         [primary(1, 100, 10), silent(replica(1, 60, 0)), silent(replica(1, 50, 0))], None },
 )]
 fn barrier_by_majority(members: [MemberView; 3], expected: Option<Position>) {
-    assert_eq!(barrier(Acknowledge::Majority, &members, 5), expected);
+    assert_eq!(barrier(AcknowledgeMode::Majority, &members, 5), expected);
 }
 
 #[parameterized(
@@ -80,22 +82,22 @@
     cut_off = { [primary(1, 130, 10), replica(2, 90, 10), replica(2, 90, 10)], None },
 )]
 fn barrier_of_the_primary(members: [MemberView; 3], expected: Option<Position>) {
-    assert_eq!(barrier(Acknowledge::Primary, &members, 5), expected);
+    assert_eq!(barrier(AcknowledgeMode::Primary, &members, 5), expected);
 }
 
 #[parameterized(
-    a_replica_holds_it = { Acknowledge::Majority, replica(1, 50, 0), Decision::Acknowledge },
-    a_replica_lacks_it = { Acknowledge::Majority, replica(1, 49, 30), Decision::Wait },
+    a_replica_holds_it = { AcknowledgeMode::Majority, replica(1, 50, 0), Decision::Acknowledge },
+    a_replica_lacks_it = { AcknowledgeMode::Majority, replica(1, 49, 30), Decision::Wait },
     a_replica_promised_a_higher_term = {
-        Acknowledge::Majority, view(Role::Replica, 2, 1, 50, 30), Decision::Unknown },
-    a_replica_follows_another_log = { Acknowledge::Majority, replica(2, 90, 30), Decision::Unknown },
-    term_confirmed_after = { Acknowledge::Term, replica(1, 0, 21), Decision::Acknowledge },
-    term_confirmed_before = { Acknowledge::Term, replica(1, 50, 19), Decision::Wait },
+        AcknowledgeMode::Majority, view(Role::Replica, 2, 1, 50, 30), Decision::Unknown },
+    a_replica_follows_another_log = { AcknowledgeMode::Majority, replica(2, 90, 30), Decision::Unknown },
+    term_confirmed_after = { AcknowledgeMode::Term, replica(1, 0, 21), Decision::Acknowledge },
+    term_confirmed_before = { AcknowledgeMode::Term, replica(1, 50, 19), Decision::Wait },
     term_confirmed_in_the_same_millisecond = {
-        Acknowledge::Term, replica(1, 50, 20), Decision::Wait },
-    nothing_is_asked = { Acknowledge::Primary, replica(2, 0, 0), Decision::Acknowledge },
+        AcknowledgeMode::Term, replica(1, 50, 20), Decision::Wait },
+    nothing_is_asked = { AcknowledgeMode::Primary, replica(2, 0, 0), Decision::Acknowledge },
 )]
-fn acknowledgement(mode: Acknowledge, other: MemberView, expected: Decision) {
+fn acknowledgement(mode: AcknowledgeMode, other: MemberView, expected: Decision) {
     let commit = Commit {
         position: at(1, 50),
         primary: 0,
@@ -106,17 +108,17 @@
 }
 
 #[parameterized(
-    lacks_it = { at(2, 90), Some(2), Fate::Discarded },
-    ends_before_it = { at(2, 40), None, Fate::Discarded },
-    same_term = { at(1, 90), Some(1), Fate::Open },
+    lacks_it = { at(2, 90), Some(2), CommitOutcome::Discarded },
+    ends_before_it = { at(2, 40), None, CommitOutcome::Discarded },
+    same_term = { at(1, 90), Some(1), CommitOutcome::Open },
 )]
-fn fate_of_a_commit(now: Position, found: Option<u64>, expected: Fate) {
+fn fate_of_a_commit(now: Position, found: Option<u64>, expected: CommitOutcome) {
     let commit = Commit {
         position: at(1, 50),
         primary: 0,
         answered_ms: 20,
     };
-    assert_eq!(fate(&commit, now, 1, found), expected);
+    assert_eq!(commit_outcome(&commit, now, 1, found), expected);
 }
 
 /// An inherited commit is safe only in the successor's own term.
@@ -127,7 +129,7 @@
         primary: 0,
         answered_ms: 20,
     };
-    let Fate::Inherited(inherited) = fate(&commit, at(3, 90), 1, Some(1)) else {
+    let CommitOutcome::Inherited(inherited) = commit_outcome(&commit, at(3, 90), 1, Some(1)) else {
         panic!("the successor holds it");
     };
     assert_eq!(inherited.position, at(3, 50));
--- a/tests/decide_relay.rs
+++ b/tests/decide_relay.rs
@@ -6,12 +6,14 @@
     decide::{
         admission::AdmissionQueue,
         age::{AgeTracker, is_floor_due},
-        dispatch::{ConnectionBudget, ReadCandidate, choose_reader, is_cut_off, shares},
-        holders::{VmPlace, Way, holders, ways},
-        standing::{Standing, Testimony, received_by_others, standing, testimonies_needed},
+        dispatch::{ConnectionBudget, ReadCandidate, choose_reader, is_cut_off, share_count},
+        holders::{MemberPath, VmPlace, holders, member_paths},
+        leadership::{
+            LeadershipCheck, TermReport, check_leadership, received_by_others, term_reports_needed,
+        },
         takeover::{
-            Candidate, Choice, Fenced, PrimaryHealth, Reason, Stuck, TakeoverSettings, WaitReason,
-            choose, doubt,
+            Candidate, Choice, Fenced, PrimaryHealth, Reason, StuckCommit, TakeoverSettings,
+            WaitReason, choose, replacement_reason,
         },
         window::Window,
     },
@@ -25,8 +27,8 @@
     Position::new(term, Lsn(lsn))
 }
 
-fn said(asked_us: u64, term: u64) -> Testimony {
-    Testimony { asked_us, term }
+fn said(asked_us: u64, term: u64) -> TermReport {
+    TermReport { asked_us, term }
 }
 
 #[parameterized(
@@ -37,17 +39,17 @@
     three_without_synchronous_replicas = { 3, 0, 2 },
 )]
 fn testimonies(members: usize, sync_replicas: u32, expected: usize) {
-    assert_eq!(testimonies_needed(members, sync_replicas), expected);
+    assert_eq!(term_reports_needed(members, sync_replicas), expected);
 }
 
 #[parameterized(
-    proved = { vec![said(11, 1), said(4, 1)], 1, Standing::Proved { term: 1 } },
-    asked_before = { vec![said(10, 1), said(4, 1)], 1, Standing::Open },
-    refuted_by_one = { vec![said(11, 1), said(12, 2)], 1, Standing::Proved { term: 2 } },
-    too_few = { vec![said(11, 1)], 2, Standing::Open },
+    proved = { vec![said(11, 1), said(4, 1)], 1, LeadershipCheck::Confirmed { term: 1 } },
+    asked_before = { vec![said(10, 1), said(4, 1)], 1, LeadershipCheck::Pending },
+    refuted_by_one = { vec![said(11, 1), said(12, 2)], 1, LeadershipCheck::Confirmed { term: 2 } },
+    too_few = { vec![said(11, 1)], 2, LeadershipCheck::Pending },
 )]
-fn proof_of_the_primary(others: Vec<Testimony>, needed: usize, expected: Standing) {
-    assert_eq!(standing(others.into_iter(), 10, needed), expected);
+fn proof_of_the_primary(others: Vec<TermReport>, needed: usize, expected: LeadershipCheck) {
+    assert_eq!(check_leadership(others.into_iter(), 10, needed), expected);
 }
 
 #[parameterized(
@@ -159,9 +161,9 @@
 /// A zone with few VMs gives each a larger share.
 #[test]
 fn shares_by_zone() {
-    assert_eq!(shares(3, 7), 21);
-    assert_eq!(shares(3, 2), 6);
-    assert_eq!(shares(3, 0), 3);
+    assert_eq!(share_count(3, 7), 21);
+    assert_eq!(share_count(3, 2), 6);
+    assert_eq!(share_count(3, 0), 3);
 }
 
 /// A full member is given fewer requests, and more again as it answers.
@@ -280,8 +282,8 @@
     PrimaryHealth {
         is_known: true,
         others_answer: true,
-        goes_itself: true,
-        looks_after: true,
+        connects_to_primary: true,
+        connects_to_any_member: true,
         ..PrimaryHealth::default()
     }
 }
@@ -293,9 +295,9 @@
     this_vm_is_cut_off = {
         PrimaryHealth { failures: 9, silent_ms: 900, others_answer: false, ..well() }, None },
     silent_beyond_another_vm = {
-        PrimaryHealth { failures: 9, silent_ms: 900, goes_itself: false, ..well() }, None },
+        PrimaryHealth { failures: 9, silent_ms: 900, connects_to_primary: false, ..well() }, None },
     leaving_and_not_looked_after_here = {
-        PrimaryHealth { is_leaving: true, looks_after: false, ..well() }, None },
+        PrimaryHealth { is_leaving: true, connects_to_any_member: false, ..well() }, None },
     leaving = { PrimaryHealth { is_leaving: true, ..well() }, Some(Reason::Leaving) },
     stuck = { PrimaryHealth { stuck_ms: 900, ..well() }, Some(Reason::Stuck) },
     left_unfinished = { PrimaryHealth { held_ms: 2_500, ..well() }, Some(Reason::Unfinished) },
@@ -304,14 +306,14 @@
     not_missing_for_long = { PrimaryHealth { is_known: false, missing_ms: 90, ..well() }, None },
 )]
 fn doubt_of_the_primary(health: PrimaryHealth, expected: Option<Reason>) {
-    assert_eq!(doubt(&health, &SETTINGS), expected);
+    assert_eq!(replacement_reason(&health, &SETTINGS), expected);
 }
 
 /// A late answer alone does not make a primary stuck: a replica that received
 /// what the primary held then proves that it was the answer that was lost.
 #[test]
 fn lost_answer_is_no_stuck_commit() {
-    let mut stuck = Stuck::default();
+    let mut stuck = StuckCommit::default();
     assert!(!stuck.note_replica(at(1, 9), 100));
     stuck.note_primary(at(1, 7));
     stuck.note_primary(at(1, 9));
@@ -324,7 +326,7 @@
 /// from the moment at which a replica was seen to lack the commit.
 #[test]
 fn commit_is_stuck_once_a_replica_lacks_it() {
-    let mut stuck = Stuck::default();
+    let mut stuck = StuckCommit::default();
     stuck.note_primary(at(1, 7));
     assert_eq!(stuck.stuck_ms(3_000), 0);
     assert!(!stuck.note_replica(at(1, 6), 3_000));
@@ -395,16 +397,19 @@
     for vm in vms.keys() {
         let region = &vms[vm].region;
         let chosen = holders("m", 30, &vms, region).unwrap();
-        let ways = ways(vm, "m", 30, &vms);
+        let ways = member_paths(vm, "m", 30, &vms);
         match chosen.contains(vm) {
-            true => assert_eq!(ways[0], Way::Direct),
+            true => assert_eq!(ways[0], MemberPath::Direct),
             false => {
-                assert!(matches!(&ways[0], Way::Through(other) if chosen.contains(other)));
-                assert_eq!(ways.last(), Some(&Way::Direct));
+                assert!(matches!(&ways[0], MemberPath::Through(other) if chosen.contains(other)));
+                assert_eq!(ways.last(), Some(&MemberPath::Direct));
             }
         }
         assert!(ways.iter().all(|way| way.through() != &**vm));
         assert!(ways.len() >= 3, "{ways:?}");
     }
-    assert_eq!(ways(&"unknown".into(), "m", 30, &vms), [Way::Direct]);
+    assert_eq!(
+        member_paths(&"unknown".into(), "m", 30, &vms),
+        [MemberPath::Direct]
+    );
 }
