--- a/src/relay/catalog.rs
+++ b/src/relay/config.rs
@@ -38,7 +38,7 @@
 
 /// A service as configured.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ServiceEntry {
+pub struct ServiceConfig {
     /// Most connections to a member, from all VMs together.
     pub connections_max: usize,
     /// Replicas that must have received a commit before it is acknowledged.
@@ -56,13 +56,13 @@
 
 /// A version of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Catalog {
+pub struct RelayConfig {
     /// Version; it only rises.
     pub version: u64,
     /// Routes by the name of their database.
     pub routes: BTreeMap<Name, Arc<Route>>,
     /// Services by name.
-    pub services: BTreeMap<Name, ServiceEntry>,
+    pub services: BTreeMap<Name, ServiceConfig>,
     /// Limits.
     pub limits: Limits,
 }
--- a/src/relay/link.rs
+++ b/src/relay/connection.rs
@@ -6,13 +6,13 @@
 use crate::{decide::holders::Way, prelude::*, proxy::link::Permit};
 
 /// Values of a session, by name.
-pub type Values = BTreeMap<Bytes, Bytes>;
+pub type SessionVariables = BTreeMap<Bytes, Bytes>;
 
 /// Prepared statements after which a connection is reset before it is reused.
 const PREPARED_MAX: usize = 500;
 
 /// A connection to a member, or to another VM that stands for it.
-pub struct Link {
+pub struct Connection {
     /// The socket.
     pub socket: Socket,
     /// Id of the member.
@@ -20,7 +20,7 @@
     /// How it leads there.
     pub way: Way,
     /// Values that are set on it.
-    pub values: Values,
+    pub variables: SessionVariables,
     /// Names of the statements that are prepared on it.
     pub prepared: BTreeSet<Name>,
     /// Ends the count as a request that runs when it is dropped.
@@ -31,11 +31,14 @@
     pub _permit: Permit,
 }
 
-impl Link {
-    /// Whether it must be reset before a session with these values uses it: a
+impl Connection {
+    /// Whether it must be reset before a session with these variables uses it: a
     /// value can be set over but not removed.
-    pub fn needs_reset(&self, values: &Values) -> bool {
-        let has_more = self.values.keys().any(|name| !values.contains_key(name));
+    pub fn needs_reset(&self, variables: &SessionVariables) -> bool {
+        let has_more = self
+            .variables
+            .keys()
+            .any(|name| !variables.contains_key(name));
         has_more || self.prepared.len() >= PREPARED_MAX
     }
 }
--- a/src/relay/exchange.rs
+++ b/src/relay/exchange.rs
@@ -4,7 +4,7 @@
 
 use super::{
     Answer, MemberCodec, MemberRequest, RelayError, Result, Statement, StatementKind, StatusReport,
-    link::{Link, Values},
+    connection::{Connection, SessionVariables},
     prepared::Shape,
 };
 use crate::prelude::*;
@@ -14,8 +14,8 @@
 pub fn put_session(
     output: &mut BytesMut,
     codec: &MemberCodec,
-    link: &mut Link,
-    values: &Values,
+    link: &mut Connection,
+    values: &SessionVariables,
     shape: Option<&Shape>,
 ) -> usize {
     let mut answers = 0;
@@ -25,13 +25,13 @@
     };
     if link.needs_reset(values) {
         put(&MemberRequest::Reset);
-        link.values.clear();
+        link.variables.clear();
         link.prepared.clear();
     }
     for (name, value) in values {
-        if link.values.get(name) != Some(value) {
+        if link.variables.get(name) != Some(value) {
             put(&MemberRequest::Set { name, value });
-            link.values.insert(name.clone(), value.clone());
+            link.variables.insert(name.clone(), value.clone());
         }
     }
     if let Some(shape) = shape
@@ -51,7 +51,7 @@
 ///
 /// Returns an error when the connection breaks or one of them is an error: the
 /// connection's session is then not known.
-pub async fn skip_answers(link: &mut Link, codec: &MemberCodec, count: usize) -> Result<()> {
+pub async fn skip_answers(link: &mut Connection, codec: &MemberCodec, count: usize) -> Result<()> {
     for _ in 0..count {
         let answer = read_answer(link, codec).await?;
         if let Some(class) = answer.error {
@@ -66,7 +66,7 @@
 /// # Errors
 ///
 /// Returns an error when the connection breaks.
-pub async fn read_answer(link: &mut Link, codec: &MemberCodec) -> Result<Answer> {
+pub async fn read_answer(link: &mut Connection, codec: &MemberCodec) -> Result<Answer> {
     loop {
         if let Some(answer) = (codec.decode)(&mut link.socket.input)? {
             return Ok(answer);
@@ -81,7 +81,7 @@
 ///
 /// Returns an error when the connection breaks.
 pub async fn request(
-    link: &mut Link,
+    link: &mut Connection,
     codec: &MemberCodec,
     request: &MemberRequest<'_>,
 ) -> Result<Answer> {
@@ -97,7 +97,7 @@
 ///
 /// Returns an error when the connection breaks or the member refuses.
 pub async fn report(
-    link: &mut Link,
+    link: &mut Connection,
     codec: &MemberCodec,
     order: &MemberRequest<'_>,
 ) -> Result<StatusReport> {
@@ -125,9 +125,9 @@
 
 /// Sends a statement with what it needs of the session, and reads the answer.
 pub async fn run(
-    link: &mut Link,
+    link: &mut Connection,
     codec: &MemberCodec,
-    values: &Values,
+    values: &SessionVariables,
     call: &Call<'_>,
 ) -> Result<Outcome> {
     let mut output = BytesMut::new();
@@ -170,9 +170,9 @@
 
 /// Begins a transaction on a connection that has the session's values.
 pub async fn begin(
-    link: &mut Link,
+    link: &mut Connection,
     codec: &MemberCodec,
-    values: &Values,
+    values: &SessionVariables,
     after: Option<Position>,
     is_read_only: bool,
 ) -> Result<Answer> {
--- a/src/relay/forward/conversation.rs
+++ b/src/relay/forward/conversation.rs
@@ -8,9 +8,9 @@
     metrics::label,
     relay::{
         Answer, Statement, StatementKind, StatusReport,
+        connection::{Connection, SessionVariables},
         exchange::{Call, Outcome, begin, run},
-        link::{Link, Values},
-        message::{Acquire, NoReport, Refused, ServiceMessage, Want},
+        message::{Acquire, Purpose, Refused, ReportError, ServiceMessage},
         prepared::Shape,
     },
 };
@@ -31,10 +31,10 @@
     member: Name,
     /// What the VM says; the channel ends when the VM has closed the connection.
     messages: flume::Receiver<Result<ForwardMessage>>,
-    values: Rc<Values>,
+    values: Rc<SessionVariables>,
     prepared: BTreeMap<Name, Shape>,
     /// The member's connection while a transaction is open.
-    link: Option<Link>,
+    link: Option<Connection>,
 }
 
 impl Conversation {
@@ -135,21 +135,21 @@
             return true;
         }
         let (reply, report) = oneshot::channel();
-        let message = ServiceMessage::Report {
+        let message = ServiceMessage::RequestReport {
             member: self.member.clone(),
             since_us: clock::boot_us(),
             reply,
         };
         self.shared.send(&self.service, message);
-        let report = match report.await.unwrap_or(Err(NoReport::NotReached)) {
+        let report = match report.await.unwrap_or(Err(ReportError::NotReached)) {
             Ok(report) => report,
-            Err(NoReport::Silent) => return false,
-            Err(NoReport::Busy) => {
+            Err(ReportError::Silent) => return false,
+            Err(ReportError::Busy) => {
                 let text = "the member has too much to do";
                 self.put_error(ErrorClass::Busy, text, output);
                 return true;
             }
-            Err(NoReport::NotReached) => {
+            Err(ReportError::NotReached) => {
                 let text = "this VM does not go to the member itself";
                 self.put_error(ErrorClass::WrongMember, text, output);
                 return true;
@@ -256,7 +256,7 @@
     /// Passes an answer on, and keeps the connection while a transaction is open.
     fn conclude(
         &mut self,
-        link: Link,
+        link: Connection,
         answer: &Answer,
         read_us: Option<u64>,
         output: &mut BytesMut,
@@ -276,7 +276,11 @@
         }
     }
 
-    async fn acquire(&self, id: &[u8], is_transaction: bool) -> std::result::Result<Link, Refused> {
+    async fn acquire(
+        &self,
+        id: &[u8],
+        is_transaction: bool,
+    ) -> std::result::Result<Connection, Refused> {
         let refused = |class, text| Refused {
             class,
             text,
@@ -288,18 +292,18 @@
         let (reply, granted) = oneshot::channel();
         let acquire = Acquire {
             id: bytes::Bytes::copy_from_slice(id),
-            want: Want::Forward(self.member.clone()),
+            purpose: Purpose::Forward(self.member.clone()),
             deadline_ms: clock::boot_ms() + WAIT_MS,
             priority: PRIORITY,
             is_transaction,
             avoid: BTreeSet::new(),
-            values: self.values.clone(),
+            variables: self.values.clone(),
             reply,
         };
         self.shared
             .send(&self.service, ServiceMessage::Acquire(acquire));
         let lost = refused(ErrorClass::WrongMember, "the service is not served");
-        let link = granted.await.unwrap_or(Err(lost))?.link;
+        let link = granted.await.unwrap_or(Err(lost))?.connection;
         if self.messages.is_disconnected() {
             self.give_back(link, false, None);
             return Err(refused(ErrorClass::Busy, "the VM that asked has gone"));
@@ -324,9 +328,9 @@
         (codec.ready)(output, self.state(), None);
     }
 
-    fn give_back(&self, link: Link, needs_rollback: bool, read_us: Option<u64>) {
+    fn give_back(&self, link: Connection, needs_rollback: bool, read_us: Option<u64>) {
         let message = ServiceMessage::Release {
-            link,
+            connection: link,
             needs_rollback,
             read_us,
         };
--- a/src/relay/handle.rs
+++ b/src/relay/handle.rs
@@ -9,7 +9,7 @@
 use tokio::sync::watch;
 
 use super::{
-    Catalog, ErrorClass, RelayOptions, Roster, Route, Vms, forward,
+    ErrorClass, MemberList, RelayConfig, RelayOptions, Route, Vms, forward,
     message::ServiceMessage,
     service,
     session::{self, STOP_LINGER_MS},
@@ -33,10 +33,10 @@
     /// Metrics.
     pub metrics: Metrics,
     /// Configuration in force.
-    pub catalog: RefCell<Option<Arc<Catalog>>>,
+    pub catalog: RefCell<Option<Arc<RelayConfig>>>,
     /// Mailboxes of the services.
     services: RefCell<BTreeMap<Name, flume::Sender<ServiceMessage>>>,
-    roster: RefCell<Roster>,
+    roster: RefCell<MemberList>,
     /// Sessions that are open.
     pub sessions: Cell<usize>,
     /// Time since which the VM stops, in milliseconds.
@@ -111,7 +111,7 @@
             metrics,
             catalog: RefCell::new(None),
             services: RefCell::new(BTreeMap::new()),
-            roster: RefCell::new(Roster::default()),
+            roster: RefCell::new(MemberList::default()),
             sessions: Cell::new(0),
             stopping,
         };
@@ -144,7 +144,7 @@
     }
 
     /// Puts a configuration in force unless it is older than the one that is.
-    pub fn apply(&self, catalog: Catalog) {
+    pub fn apply(&self, catalog: RelayConfig) {
         let before = self.version();
         if before.is_some_and(|before| before >= catalog.version) {
             return;
@@ -156,7 +156,7 @@
         for (service, entry) in &catalog.services {
             match self.shared.service(service) {
                 Some(_) => {
-                    let message = ServiceMessage::Entry(entry.clone());
+                    let message = ServiceMessage::Config(entry.clone());
                     self.shared.send(service, message);
                 }
                 None => self.start_service(service, entry.clone()),
@@ -166,7 +166,7 @@
         self.note_ready();
     }
 
-    fn start_service(&self, name: &Name, entry: super::ServiceEntry) {
+    fn start_service(&self, name: &Name, entry: super::ServiceConfig) {
         let options = self.shared.options.clone();
         let mailbox = service::start(name.clone(), entry, options, self.shared.metrics.clone());
         self.shared
@@ -179,7 +179,7 @@
     }
 
     /// Takes the members as the platform lists them now.
-    pub fn list_members(&self, roster: Roster) {
+    pub fn list_members(&self, roster: MemberList) {
         if *self.shared.roster.borrow() == roster {
             return;
         }
--- a/src/relay/member.rs
+++ b/src/relay/member.rs
@@ -2,7 +2,7 @@
 
 use super::{
     MemberEntry, StatusReport,
-    link::{Link, Values},
+    connection::{Connection, SessionVariables},
     message::Acquire,
 };
 use crate::{
@@ -77,7 +77,7 @@
     /// Equal shares that its connections are dealt out in.
     shares: usize,
     /// Connections that nobody uses.
-    pub idle: Vec<Link>,
+    pub idle: Vec<Connection>,
     /// Connections that are open, or being opened.
     pub open: usize,
     /// Of these, those that are being opened.
@@ -304,7 +304,7 @@
         }
         // The oldest stands first. One at a time: each end is counted when it
         // is told.
-        let idle_since_ms = self.idle.first().map(|link| link.idle_since_ms);
+        let idle_since_ms = self.idle.first().map(|connection| connection.idle_since_ms);
         let idle_ms = idle_since_ms.map(|since_ms| now_ms.saturating_sub(since_ms));
         if idle_ms.is_some_and(|idle_ms| budget.is_surplus(self.open, idle_ms)) {
             self.idle.remove(0);
@@ -312,14 +312,14 @@
     }
 
     /// Takes an idle connection, preferably one that needs no reset.
-    pub fn take_idle(&mut self, values: &Values) -> Option<Link> {
+    pub fn take_idle(&mut self, variables: &SessionVariables) -> Option<Connection> {
         while !self.idle.is_empty() {
-            let fitting = self.idle.iter().rposition(|l| !l.needs_reset(values));
-            let link = self
+            let fitting = self.idle.iter().rposition(|c| !c.needs_reset(variables));
+            let connection = self
                 .idle
                 .swap_remove(fitting.unwrap_or(self.idle.len() - 1));
-            if !link.socket.is_stale() {
-                return Some(link);
+            if !connection.socket.is_stale() {
+                return Some(connection);
             }
         }
         None
--- a/src/relay/roster.rs
+++ b/src/relay/member_list.rs
@@ -18,12 +18,12 @@
     /// How it sees itself.
     pub role: Option<Role>,
     /// Unix time of its start, in milliseconds: its incarnation.
-    pub born_ms: Option<u64>,
+    pub started_ms: Option<u64>,
 }
 
 /// All members by id.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Roster {
+pub struct MemberList {
     /// Members by id.
     pub members: BTreeMap<Name, MemberEntry>,
 }
--- a/src/relay/message.rs
+++ b/src/relay/message.rs
@@ -5,9 +5,9 @@
 use futures::channel::oneshot;
 
 use super::{
-    ErrorClass, MemberEntry, Result, ServiceEntry, StatusReport, Vms,
-    link::{Link, Values},
-    takeover::Rival,
+    ErrorClass, MemberEntry, Result, ServiceConfig, StatusReport, Vms,
+    connection::{Connection, SessionVariables},
+    takeover::GroupMember,
 };
 use crate::{decide::holders::Way, prelude::*};
 
@@ -24,7 +24,7 @@
 
 /// What a connection is needed for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Want {
+pub enum Purpose {
     /// For what only the primary can do. Whoever reads there without a proof
     /// that it leads says how fresh its log must be.
     Primary(Option<Freshness>),
@@ -34,19 +34,19 @@
     Forward(Name),
 }
 
-impl Want {
+impl Purpose {
     /// How fresh the member's log must be.
     pub fn freshness(&self) -> Option<Freshness> {
         match self {
-            Want::Forward(_) => None,
-            Want::Primary(freshness) => *freshness,
-            Want::Read(freshness) => Some(*freshness),
+            Purpose::Forward(_) => None,
+            Purpose::Primary(freshness) => *freshness,
+            Purpose::Read(freshness) => Some(*freshness),
         }
     }
 
     /// Whether only the primary will do.
     pub fn is_primary(&self) -> bool {
-        matches!(self, Want::Primary(_))
+        matches!(self, Purpose::Primary(_))
     }
 }
 
@@ -55,7 +55,7 @@
     /// Id of the statement, for logs.
     pub id: bytes::Bytes,
     /// What for.
-    pub want: Want,
+    pub purpose: Purpose,
     /// Latest time to grant it, in milliseconds.
     pub deadline_ms: u64,
     /// Priority; zero goes first.
@@ -65,7 +65,7 @@
     /// Members that have failed this request.
     pub avoid: BTreeSet<Name>,
     /// Values of the session.
-    pub values: Rc<Values>,
+    pub variables: Rc<SessionVariables>,
     /// Answer.
     pub reply: oneshot::Sender<std::result::Result<Granted, Refused>>,
 }
@@ -73,7 +73,7 @@
 /// A connection that was granted.
 pub struct Granted {
     /// The connection.
-    pub link: Link,
+    pub connection: Connection,
     /// Position that the member's log must hold.
     pub after: Option<Position>,
     /// Term that the member led when it last reported; `None` for a replica.
@@ -94,7 +94,7 @@
 /// Why there is no report of a member for another VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "snake_case")]
-pub enum NoReport {
+pub enum ReportError {
     /// The member does not answer this VM.
     Silent,
     /// It has not answered in time, but before: it has much to do, or all
@@ -111,14 +111,14 @@
     /// Take a connection back.
     Release {
         /// The connection.
-        link: Link,
+        connection: Connection,
         /// Whether a transaction may be open on it.
         needs_rollback: bool,
         /// Time of the read that it served, in microseconds.
         read_us: Option<u64>,
     },
     /// A connection is gone.
-    Dropped {
+    ConnectionClosed {
         /// Id of the member.
         member: Name,
     },
@@ -133,11 +133,11 @@
         member: Name,
     },
     /// A connection was opened, or not.
-    Opened {
+    ConnectionOpened {
         /// Id of the member.
         member: Name,
         /// The connection.
-        result: Result<Link>,
+        result: Result<Connection>,
     },
     /// A member reported, or did not.
     Probed {
@@ -148,19 +148,19 @@
         /// Time it was asked, in microseconds.
         asked_us: u64,
         /// The report, and the connection that it came on.
-        result: Result<(Link, StatusReport)>,
+        result: Result<(Connection, StatusReport)>,
     },
     /// Another VM asks for a report of a member.
-    Report {
+    RequestReport {
         /// Id of the member.
         member: Name,
         /// Time after which the member must be asked, in microseconds.
         since_us: u64,
         /// Answer.
-        reply: oneshot::Sender<std::result::Result<StatusReport, NoReport>>,
+        reply: oneshot::Sender<std::result::Result<StatusReport, ReportError>>,
     },
     /// Prove that nobody else leads.
-    Prove {
+    CheckLeadership {
         /// Member that is believed to lead.
         primary: Name,
         /// Time after which the others must be asked, in microseconds.
@@ -202,11 +202,11 @@
     /// The VMs that are at work.
     Vms(Rc<Vms>),
     /// The configuration of the service.
-    Entry(ServiceEntry),
+    Config(ServiceConfig),
     /// An attempt to replace the primary asks for the members as they are now.
-    Rivals {
+    GroupMembers {
         /// Answer.
-        reply: oneshot::Sender<Vec<Rival>>,
+        reply: oneshot::Sender<Vec<GroupMember>>,
     },
     /// An attempt to replace the primary has ended.
     TakeoverEnded {
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -5,19 +5,19 @@
 //! sockets is left to two codecs, plain structs of functions.
 
 mod answer;
-mod catalog;
 mod codec;
+mod config;
+mod connection;
 mod error;
 mod exchange;
 mod forward;
 mod handle;
-mod link;
 mod member;
+mod member_list;
 mod message;
 mod open;
 mod options;
 mod prepared;
-mod roster;
 mod service;
 mod session;
 mod socket;
@@ -27,14 +27,14 @@
 mod vms;
 
 pub use answer::{Answer, ErrorClass, SessionState, StatusReport};
-pub use catalog::{Catalog, Consistency, Limits, Route, ServiceEntry};
 pub use codec::{
     CallerCodec, CallerMessage, Codecs, ForwardCodec, ForwardMessage, MemberCodec, MemberRequest,
 };
+pub use config::{Consistency, Limits, RelayConfig, Route, ServiceConfig};
 pub use error::{RelayError, Result};
 pub use handle::Relay;
+pub use member_list::{MemberEntry, MemberList};
 pub use options::{Authority, Claim, PromoteOutcome, Promotion, RelayOptions};
 pub use prepared::Shape;
-pub use roster::{MemberEntry, Roster};
 pub use statement::{Access, Statement, StatementKind};
 pub use vms::Vms;
--- a/src/relay/open.rs
+++ b/src/relay/open.rs
@@ -6,7 +6,7 @@
 use compio::net::TcpStream;
 
 use super::{
-    MemberCodec, MemberRequest, RelayError, Result, exchange::read_answer, link::Link,
+    MemberCodec, MemberRequest, RelayError, Result, connection::Connection, exchange::read_answer,
     socket::Socket,
 };
 use crate::{decide::holders::Way, prelude::*, proxy::link::Permit};
@@ -34,18 +34,18 @@
 /// # Errors
 ///
 /// Returns an error when nobody answers in time or the member refuses.
-pub async fn open(target: Target, codec: MemberCodec, permit: Permit) -> Result<Link> {
+pub async fn open(target: Target, codec: MemberCodec, permit: Permit) -> Result<Connection> {
     let opened = compio::time::timeout(OPEN_TIMEOUT, connect(target, codec, permit)).await;
     opened.map_err(|_| RelayError::Timeout)?
 }
 
-async fn connect(target: Target, codec: MemberCodec, permit: Permit) -> Result<Link> {
+async fn connect(target: Target, codec: MemberCodec, permit: Permit) -> Result<Connection> {
     let stream = TcpStream::connect(target.address).await?;
-    let mut link = Link {
+    let mut connection = Connection {
         socket: Socket::new(stream)?,
         member: target.member.clone(),
         way: target.way.clone(),
-        values: BTreeMap::new(),
+        variables: BTreeMap::new(),
         prepared: BTreeSet::new(),
         run: None,
         idle_since_ms: 0,
@@ -57,13 +57,13 @@
         member: &target.member,
     };
     (codec.encode)(&mut output, &request);
-    link.socket.write(output).await?;
-    match read_answer(&mut link, &codec).await {
+    connection.socket.write(output).await?;
+    match read_answer(&mut connection, &codec).await {
         Ok(answer) => match answer.error {
-            None => Ok(link),
+            None => Ok(connection),
             Some(class) => Err(RelayError::Refused { class }),
         },
-        Err(error) => match (codec.opening_error)(&link.socket.input) {
+        Err(error) => match (codec.opening_error)(&connection.socket.input) {
             Some(class) => Err(RelayError::Refused { class }),
             None => Err(error),
         },
--- a/src/relay/service.rs
+++ b/src/relay/service.rs
@@ -14,10 +14,10 @@
 use futures::channel::oneshot;
 
 use super::{
-    ErrorClass, MemberEntry, RelayOptions, ServiceEntry, StatusReport, Vms,
-    link::Values,
+    ErrorClass, MemberEntry, RelayOptions, ServiceConfig, StatusReport, Vms,
+    connection::SessionVariables,
     member::Member,
-    message::{Acquire, Freshness, Granted, NoReport, Refused, ServiceMessage, Want},
+    message::{Acquire, Freshness, Granted, Purpose, Refused, ReportError, ServiceMessage},
     open::{Target, open},
 };
 use crate::{
@@ -73,12 +73,12 @@
 struct PendingReport {
     member: Name,
     since_us: u64,
-    reply: oneshot::Sender<std::result::Result<StatusReport, NoReport>>,
+    reply: oneshot::Sender<std::result::Result<StatusReport, ReportError>>,
 }
 
 struct Service {
     context: ServiceContext,
-    entry: ServiceEntry,
+    entry: ServiceConfig,
     vms: Rc<Vms>,
     members: BTreeMap<Name, Member>,
     primary: Option<Name>,
@@ -109,7 +109,7 @@
 /// Starts the task of a service.
 pub fn start(
     service: Name,
-    entry: ServiceEntry,
+    entry: ServiceConfig,
     options: Rc<RelayOptions>,
     metrics: Metrics,
 ) -> flume::Sender<ServiceMessage> {
@@ -126,7 +126,7 @@
 
 async fn run(
     context: ServiceContext,
-    entry: ServiceEntry,
+    entry: ServiceConfig,
     messages: flume::Receiver<ServiceMessage>,
 ) {
     let mut service = Service {
@@ -165,11 +165,11 @@
         match message {
             ServiceMessage::Acquire(acquire) => self.acquire(acquire),
             ServiceMessage::Release {
-                link,
+                connection,
                 needs_rollback,
                 read_us,
-            } => self.release(link, needs_rollback, read_us),
-            ServiceMessage::Dropped { member } => {
+            } => self.release(connection, needs_rollback, read_us),
+            ServiceMessage::ConnectionClosed { member } => {
                 if let Some(member) = self.members.get_mut(&member) {
                     member.open = member.open.saturating_sub(1);
                 }
@@ -180,14 +180,14 @@
                     member.window.refused(clock::boot_ms());
                 }
             }
-            ServiceMessage::Opened { member, result } => self.opened(&member, result),
+            ServiceMessage::ConnectionOpened { member, result } => self.opened(&member, result),
             ServiceMessage::Probed {
                 member,
                 way,
                 asked_us,
                 result,
             } => self.probed(&member, &way, asked_us, result),
-            ServiceMessage::Report {
+            ServiceMessage::RequestReport {
                 member,
                 since_us,
                 reply,
@@ -196,7 +196,7 @@
                 since_us,
                 reply,
             }),
-            ServiceMessage::Prove {
+            ServiceMessage::CheckLeadership {
                 primary,
                 since_us,
                 reply,
@@ -214,8 +214,8 @@
             ServiceMessage::Behind { member } => self.behind(&member),
             ServiceMessage::Members { members } => self.change_members(members),
             ServiceMessage::Vms(vms) => self.change_vms(vms),
-            ServiceMessage::Entry(entry) => self.change_entry(entry),
-            ServiceMessage::Rivals { reply } => {
+            ServiceMessage::Config(entry) => self.change_entry(entry),
+            ServiceMessage::GroupMembers { reply } => {
                 // The attempt may have ended.
                 let _ = reply.send(self.rivals());
             }
--- a/src/relay/service/connections.rs
+++ b/src/relay/service/connections.rs
@@ -1,7 +1,7 @@
 //! Connections: opened, taken back, closed.
 
 use super::*;
-use crate::relay::{MemberRequest, RelayError, Result, exchange::request, link::Link};
+use crate::relay::{MemberRequest, RelayError, Result, connection::Connection, exchange::request};
 
 /// Pause after a connection could not be opened, in milliseconds.
 const OPEN_PAUSE_MS: u64 = 100;
@@ -26,7 +26,7 @@
         compio::runtime::spawn(async move {
             let member = target.member.clone();
             let result = open(target, codec, permit).await;
-            context.send(ServiceMessage::Opened { member, result });
+            context.send(ServiceMessage::ConnectionOpened { member, result });
         })
         .detach();
     }
@@ -38,7 +38,7 @@
         }
         let context = self.context.clone();
         let member = id.clone();
-        Permit::new(move || context.send(ServiceMessage::Dropped { member }))
+        Permit::new(move || context.send(ServiceMessage::ConnectionClosed { member }))
     }
 
     /// Counts a request as running until the permit is dropped.
@@ -72,12 +72,17 @@
         }
     }
 
-    pub(super) fn release(&mut self, mut link: Link, needs_rollback: bool, read_us: Option<u64>) {
-        let id = link.member.clone();
+    pub(super) fn release(
+        &mut self,
+        mut connection: Connection,
+        needs_rollback: bool,
+        read_us: Option<u64>,
+    ) {
+        let id = connection.member.clone();
         let Some(member) = self.members.get_mut(&id) else {
             return;
         };
-        link.run = None;
+        connection.run = None;
         if let Some(read_us) = read_us {
             member.window.done();
             member.record_read(read_us);
@@ -85,31 +90,31 @@
         }
         if needs_rollback {
             let context = self.context.clone();
-            compio::runtime::spawn(roll_back(context, link)).detach();
+            compio::runtime::spawn(roll_back(context, connection)).detach();
             return;
         }
         if member.entry.is_leaving && self.primary.as_ref() != Some(&id) {
             return;
         }
-        if link.way != *member.way() {
+        if connection.way != *member.way() {
             return;
         }
-        link.idle_since_ms = clock::boot_ms();
-        member.idle.push(link);
+        connection.idle_since_ms = clock::boot_ms();
+        member.idle.push(connection);
         self.serve_queue(&id);
     }
 
-    pub(super) fn opened(&mut self, id: &Name, result: Result<Link>) {
+    pub(super) fn opened(&mut self, id: &Name, result: Result<Connection>) {
         let now_ms = clock::boot_ms();
         let Some(member) = self.members.get_mut(id) else {
             return;
         };
         member.opening = member.opening.saturating_sub(1);
         match result {
-            Ok(link) if link.way != *member.way() => self.serve_queue(id),
-            Ok(mut link) => {
-                link.idle_since_ms = now_ms;
-                member.idle.push(link);
+            Ok(connection) if connection.way != *member.way() => self.serve_queue(id),
+            Ok(mut connection) => {
+                connection.idle_since_ms = now_ms;
+                member.idle.push(connection);
                 self.serve_queue(id);
             }
             Err(error) => {
@@ -130,9 +135,9 @@
 }
 
 /// Ends the transaction that may be open on a connection.
-async fn roll_back(context: ServiceContext, mut link: Link) {
+async fn roll_back(context: ServiceContext, mut connection: Connection) {
     let codec = context.options.codecs.member;
-    let ended = request(&mut link, &codec, &MemberRequest::Rollback);
+    let ended = request(&mut connection, &codec, &MemberRequest::Rollback);
     let ended = compio::time::timeout(ROLLBACK_TIMEOUT, ended).await;
     let is_idle = matches!(
         ended,
@@ -140,7 +145,7 @@
     );
     if is_idle {
         context.send(ServiceMessage::Release {
-            link,
+            connection,
             needs_rollback: false,
             read_us: None,
         });
--- a/src/relay/service/grant.rs
+++ b/src/relay/service/grant.rs
@@ -6,7 +6,7 @@
     age::is_floor_due,
     dispatch::{ReadCandidate, choose_reader, is_cut_off},
 };
-use crate::relay::link::Link;
+use crate::relay::connection::Connection;
 
 /// Time for which a member that lacked a position counts as behind, in milliseconds.
 const BEHIND_MS: u64 = 250;
@@ -26,7 +26,7 @@
 
 impl Service {
     pub(super) fn acquire(&mut self, acquire: Acquire) {
-        if let Some(freshness) = acquire.want.freshness() {
+        if let Some(freshness) = acquire.purpose.freshness() {
             let newest_ms = self.ages.newest_ms().unwrap_or(0);
             let age_ms = clock::boot_ms().saturating_sub(newest_ms);
             if is_floor_due(age_ms, freshness.max_staleness_ms, self.has_member_behind()) {
@@ -36,10 +36,10 @@
                 return self.wait_for_floor(acquire);
             }
         }
-        match acquire.want.clone() {
-            Want::Primary(_) => self.acquire_primary(acquire),
-            Want::Read(freshness) => self.acquire_reader(acquire, &freshness),
-            Want::Forward(member) => self.acquire_forwarded(acquire, &member),
+        match acquire.purpose.clone() {
+            Purpose::Primary(_) => self.acquire_primary(acquire),
+            Purpose::Read(freshness) => self.acquire_reader(acquire, &freshness),
+            Purpose::Forward(member) => self.acquire_forwarded(acquire, &member),
         }
     }
 
@@ -151,9 +151,9 @@
         };
         if member.queue.is_empty()
             && member.window.has_room(member.running)
-            && let Some(link) = member.take_idle(&acquire.values)
+            && let Some(connection) = member.take_idle(&acquire.variables)
         {
-            return self.grant(id, link, acquire);
+            return self.grant(id, connection, acquire);
         }
         let left_ms = acquire.deadline_ms.saturating_sub(now_ms);
         if let Admission::Refuse { retry_after_ms } = member.queue.admit(left_ms, limit) {
@@ -170,24 +170,24 @@
         self.open_if_needed(id, limit);
     }
 
-    fn grant(&mut self, id: &Name, mut link: Link, acquire: Acquire) {
+    fn grant(&mut self, id: &Name, mut connection: Connection, acquire: Acquire) {
         if !acquire.is_transaction {
-            link.run = Some(self.count_run(id));
+            connection.run = Some(self.count_run(id));
         }
         let led_term = self.members.get(id).and_then(Member::led_term);
-        let freshness = acquire.want.freshness();
+        let freshness = acquire.purpose.freshness();
         let after = freshness.and_then(|f| self.ages.floor(f.since_ms).max(f.floor));
-        if matches!(acquire.want, Want::Read(_)) {
+        if matches!(acquire.purpose, Purpose::Read(_)) {
             self.count_read(led_term.is_some());
         }
         let granted = Granted {
-            link,
+            connection,
             after,
             led_term,
         };
         if let Err(Ok(granted)) = acquire.reply.send(Ok(granted)) {
             // The caller went away.
-            self.release(granted.link, false, None);
+            self.release(granted.connection, false, None);
         }
     }
 
@@ -215,14 +215,14 @@
             if member.queue.is_empty() || !member.window.has_room(member.running) {
                 return;
             }
-            let Some(link) = member.take_idle(&Values::new()) else {
+            let Some(connection) = member.take_idle(&SessionVariables::new()) else {
                 let limit = self.members.get(id).map_or(0, |m| self.limit(m));
                 return self.open_if_needed(id, limit);
             };
             let Some(acquire) = member.queue.pop() else {
                 return;
             };
-            self.grant(id, link, acquire);
+            self.grant(id, connection, acquire);
         }
     }
 
@@ -232,7 +232,7 @@
             return;
         };
         for mut acquire in member.queue.drain() {
-            if !acquire.want.is_primary() {
+            if !acquire.purpose.is_primary() {
                 acquire.avoid.insert(id.clone());
             }
             self.acquire(acquire);
--- a/src/relay/service/members.rs
+++ b/src/relay/service/members.rs
@@ -39,7 +39,7 @@
             return;
         };
         let is_reborn =
-            member.entry.born_ms != entry.born_ms || member.entry.address != entry.address;
+            member.entry.started_ms != entry.started_ms || member.entry.address != entry.address;
         let has_new_role = member.entry.role != entry.role;
         if member.entry.is_leaving != entry.is_leaving || is_reborn {
             decision!(
--- a/src/relay/service/probe.rs
+++ b/src/relay/service/probe.rs
@@ -5,7 +5,10 @@
     decide::standing::{
         Standing, Testimony, received_by_others, standing, testimonies_needed, witnesses,
     },
-    relay::{MemberCodec, MemberRequest, RelayError, Result, StatusReport, exchange, link::Link},
+    relay::{
+        MemberCodec, MemberRequest, RelayError, Result, StatusReport, connection::Connection,
+        exchange,
+    },
 };
 
 /// Longest wait for a report: a trip to another region and back, and a full
@@ -82,12 +85,12 @@
         // A member that fails is asked on a new connection: the old ones may
         // have gone silent.
         let idle = match member.failures {
-            0 if way == *member.way() => member.take_idle(&Values::new()),
+            0 if way == *member.way() => member.take_idle(&SessionVariables::new()),
             _ => None,
         };
         let connection = match idle {
-            Some(link) => Connection::Open(Box::new(link)),
-            None => Connection::New(target, self.count_open(id)),
+            Some(connection) => ProbeConnection::Open(Box::new(connection)),
+            None => ProbeConnection::New(target, self.count_open(id)),
         };
         let context = self.context.clone();
         let member = id.clone();
@@ -110,7 +113,7 @@
         id: &Name,
         way: &Way,
         asked_us: u64,
-        result: Result<(Link, StatusReport)>,
+        result: Result<(Connection, StatusReport)>,
     ) {
         let now_ms = clock::boot_ms();
         let Some(member) = self.members.get_mut(id) else {
@@ -118,7 +121,7 @@
         };
         member.probing_us = None;
         match result {
-            Ok((link, report)) => {
+            Ok((connection, report)) => {
                 if member.failures > 0 {
                     decision!(
                         "dependency", service = &*self.context.service, member = &**id,
@@ -136,7 +139,7 @@
                 };
                 member.report = Some((asked_us, report));
                 self.note_stuck(id, &report);
-                self.release(link, false, None);
+                self.release(connection, false, None);
             }
             // The best way is only tried while another one works.
             Err(error) if *way != *member.way() => {
@@ -317,16 +320,19 @@
 }
 
 /// The connection that a question goes on.
-enum Connection {
-    Open(Box<Link>),
+enum ProbeConnection {
+    Open(Box<Connection>),
     New(Target, Permit),
 }
 
-async fn ask(connection: Connection, codec: &MemberCodec) -> Result<(Link, StatusReport)> {
-    let mut link = match connection {
-        Connection::Open(link) => *link,
-        Connection::New(target, permit) => open(target, *codec, permit).await?,
+async fn ask(
+    connection: ProbeConnection,
+    codec: &MemberCodec,
+) -> Result<(Connection, StatusReport)> {
+    let mut connection = match connection {
+        ProbeConnection::Open(connection) => *connection,
+        ProbeConnection::New(target, permit) => open(target, *codec, permit).await?,
     };
-    let report = exchange::report(&mut link, codec, &MemberRequest::Status).await?;
-    Ok((link, report))
+    let report = exchange::report(&mut connection, codec, &MemberRequest::Status).await?;
+    Ok((connection, report))
 }
--- a/src/relay/service/reports.rs
+++ b/src/relay/service/reports.rs
@@ -29,21 +29,21 @@
         &self,
         pending: &PendingReport,
         now_us: u64,
-    ) -> Option<std::result::Result<StatusReport, NoReport>> {
+    ) -> Option<std::result::Result<StatusReport, ReportError>> {
         let Some(member) = self.members.get(&pending.member) else {
-            return Some(Err(NoReport::NotReached));
+            return Some(Err(ReportError::NotReached));
         };
         if *member.way() != Way::Direct {
-            return Some(Err(NoReport::NotReached));
+            return Some(Err(ReportError::NotReached));
         }
         match member.report {
             Some((asked_us, report)) if asked_us > pending.since_us => return Some(Ok(report)),
             _ => {}
         }
         if member.failures > 0 {
-            return Some(Err(NoReport::Silent));
+            return Some(Err(ReportError::Silent));
         }
         let is_over = now_us >= pending.since_us + REPORT_TIMEOUT_US;
-        is_over.then_some(Err(NoReport::Busy))
+        is_over.then_some(Err(ReportError::Busy))
     }
 }
--- a/src/relay/service/watch.rs
+++ b/src/relay/service/watch.rs
@@ -7,7 +7,7 @@
     decide::takeover::{PrimaryHealth, TakeoverSettings, doubt},
     relay::{
         StatusReport,
-        takeover::{self, Rival, TakeoverPlan},
+        takeover::{self, GroupMember, TakeoverPlan},
     },
 };
 
@@ -142,9 +142,9 @@
     }
 
     /// The members, as an attempt to replace the primary sees them.
-    pub(super) fn rivals(&self) -> Vec<Rival> {
+    pub(super) fn rivals(&self) -> Vec<GroupMember> {
         let now_ms = clock::boot_ms();
-        let rivals = self.members.iter().map(|(id, m)| Rival {
+        let rivals = self.members.iter().map(|(id, m)| GroupMember {
             target: Target {
                 service: self.context.service.clone(),
                 member: id.clone(),
--- a/src/relay/service/ways.rs
+++ b/src/relay/service/ways.rs
@@ -9,7 +9,7 @@
         self.find_ways();
     }
 
-    pub(super) fn change_entry(&mut self, entry: ServiceEntry) {
+    pub(super) fn change_entry(&mut self, entry: ServiceConfig) {
         if self.entry != entry {
             self.entry = entry;
             self.find_ways();
--- a/src/relay/session.rs
+++ b/src/relay/session.rs
@@ -19,8 +19,8 @@
 use super::{
     Answer, CallerMessage, ErrorClass, RelayError, Result, Route, SessionState, Statement,
     StatementKind,
+    connection::SessionVariables,
     handle::Shared,
-    link::Values,
     prepared::Shape,
     socket::{self, Socket},
     transaction::Transaction,
@@ -61,7 +61,7 @@
 struct Session<'a> {
     shared: &'a Shared,
     database: Name,
-    values: Rc<Values>,
+    values: Rc<SessionVariables>,
     prepared: BTreeMap<Bytes, Rc<Shape>>,
     transaction: Option<Transaction>,
     /// Position of the session's last acknowledged commit.
--- a/src/relay/session/attempt.rs
+++ b/src/relay/session/attempt.rs
@@ -7,8 +7,8 @@
 use super::*;
 use crate::relay::{
     Access, Consistency,
-    link::Link,
-    message::{Acquire, Freshness, Granted, Refused, ServiceMessage, Want},
+    connection::Connection,
+    message::{Acquire, Freshness, Granted, Purpose, Refused, ServiceMessage},
 };
 
 /// Time after which a member that has not answered is asked how it is: over
@@ -58,7 +58,7 @@
         &self,
         route: &Route,
         statement: &Statement,
-        (want, is_transaction): (Want, bool),
+        (purpose, is_transaction): (Purpose, bool),
         avoid: BTreeSet<Name>,
         arrived_us: u64,
     ) -> std::result::Result<Granted, Refused> {
@@ -66,12 +66,12 @@
         let (reply, granted) = oneshot::channel();
         let acquire = Acquire {
             id: statement.id.clone(),
-            want,
+            purpose,
             deadline_ms: arrived_us / 1_000 + wait_ms,
             priority: route.priority,
             is_transaction,
             avoid,
-            values: self.values.clone(),
+            variables: self.values.clone(),
             reply,
         };
         self.send(&route.service, ServiceMessage::Acquire(acquire));
@@ -111,7 +111,7 @@
 
     pub(super) fn prove(&self, service: &Name, primary: &Name, since_us: u64) -> Proof {
         let (reply, proof) = oneshot::channel();
-        let message = ServiceMessage::Prove {
+        let message = ServiceMessage::CheckLeadership {
             primary: primary.clone(),
             since_us,
             reply,
@@ -123,12 +123,12 @@
     pub(super) fn give_back(
         &self,
         service: &Name,
-        link: Link,
+        link: Connection,
         needs_rollback: bool,
         read_us: Option<u64>,
     ) {
         let message = ServiceMessage::Release {
-            link,
+            connection: link,
             needs_rollback,
             read_us,
         };
--- a/src/relay/session/autocommit.rs
+++ b/src/relay/session/autocommit.rs
@@ -9,7 +9,7 @@
     relay::{
         Consistency, StatusReport,
         exchange::{Call, Outcome, run},
-        message::{Granted, ServiceMessage, Want},
+        message::{Granted, Purpose, ServiceMessage},
     },
 };
 
@@ -78,18 +78,24 @@
             let Some(route) = self.shared.route(&self.database) else {
                 return no_route();
             };
-            let want = match self.freshness(&route, arrived_us) {
-                Some(freshness) if !writes => Want::Read(freshness),
-                _ => Want::Primary(None),
+            let purpose = match self.freshness(&route, arrived_us) {
+                Some(freshness) if !writes => Purpose::Read(freshness),
+                _ => Purpose::Primary(None),
             };
             let granted = self
-                .acquire(&route, statement, (want, false), avoid.clone(), arrived_us)
+                .acquire(
+                    &route,
+                    statement,
+                    (purpose, false),
+                    avoid.clone(),
+                    arrived_us,
+                )
                 .await;
             let granted = match granted {
                 Ok(granted) => granted,
                 Err(refusal) => return refused(refusal),
             };
-            let member = granted.link.member.clone();
+            let member = granted.connection.member.clone();
             let step = match writes {
                 true => self.try_write(&route, &alone, granted).await,
                 false => self.try_read(&route, &alone, granted).await,
@@ -120,7 +126,9 @@
     async fn try_read(&mut self, route: &Route, alone: &Alone<'_>, granted: Granted) -> Step {
         let service = &route.service;
         let Granted {
-            mut link, after, ..
+            connection: mut link,
+            after,
+            ..
         } = granted;
         let member = link.member.clone();
         let needs_proof = route.consistency == Consistency::Primary;
@@ -171,7 +179,7 @@
     fn read_failed(
         &self,
         route: &Route,
-        mut link: super::super::link::Link,
+        mut link: super::super::connection::Connection,
         answer: Answer,
         class: ErrorClass,
     ) -> Step {
@@ -199,7 +207,7 @@
 
     async fn try_write(&mut self, route: &Route, alone: &Alone<'_>, granted: Granted) -> Step {
         let service = &route.service;
-        let mut link = granted.link;
+        let mut link = granted.connection;
         let member = link.member.clone();
         let call = Call {
             statement: alone.statement,
--- a/src/relay/session/transact.rs
+++ b/src/relay/session/transact.rs
@@ -7,9 +7,9 @@
 };
 use crate::relay::{
     Consistency,
+    connection::Connection,
     exchange::{Call, begin, run},
-    link::Link,
-    message::{Granted, Want},
+    message::{Granted, Purpose},
 };
 
 /// Pause before a transaction that has not run anything is begun elsewhere, in
@@ -18,7 +18,7 @@
 
 /// What became of a transaction's beginning.
 enum Begun {
-    Link(Link, Option<u64>),
+    Link(Connection, Option<u64>),
     Again(&'static str),
     Refused(Reply),
 }
@@ -98,18 +98,18 @@
         arrived_us: u64,
     ) -> Begun {
         let route = &transaction.route;
-        let want = match self.freshness(route, transaction.began_us) {
-            Some(freshness) if transaction.is_read_only => Want::Read(freshness),
-            freshness => Want::Primary(freshness),
+        let purpose = match self.freshness(route, transaction.began_us) {
+            Some(freshness) if transaction.is_read_only => Purpose::Read(freshness),
+            freshness => Purpose::Primary(freshness),
         };
         // A read at the primary begins as if it wrote: the member then refuses
         // once it does not lead any longer.
-        let is_read_only = !want.is_primary();
+        let is_read_only = !purpose.is_primary();
         let granted = self
-            .acquire(route, statement, (want, true), avoid.clone(), arrived_us)
+            .acquire(route, statement, (purpose, true), avoid.clone(), arrived_us)
             .await;
         let Granted {
-            mut link,
+            connection: mut link,
             after,
             led_term,
         } = match granted {
@@ -143,7 +143,7 @@
     async fn run_pinned(
         &mut self,
         transaction: &mut Transaction,
-        mut link: Link,
+        mut link: Connection,
         statement: &Statement,
         shape: Option<Rc<Shape>>,
         arrived_us: u64,
@@ -227,7 +227,7 @@
             wants_report: false,
         };
         let codec = &self.shared.options.codecs.member;
-        let values = link.values.clone();
+        let values = link.variables.clone();
         let attempt = run(&mut link, codec, &values, &call);
         let is_commit = transaction.has_written;
         let limit_ms = route.timeout_ms;
--- a/src/relay/takeover.rs
+++ b/src/relay/takeover.rs
@@ -43,7 +43,7 @@
 
 /// A member of the group.
 #[derive(Clone, Debug)]
-pub struct Rival {
+pub struct GroupMember {
     /// Where it is.
     pub target: Target,
     /// Whether it is the primary that is replaced.
@@ -62,7 +62,7 @@
     /// The service.
     pub context: ServiceContext,
     /// Members.
-    pub rivals: Vec<Rival>,
+    pub rivals: Vec<GroupMember>,
     /// Term of the successor, for the orders to the members.
     pub term: u64,
     /// Why the primary is replaced.
@@ -169,7 +169,7 @@
     /// replaced stays the same.
     async fn refresh(&mut self) {
         let (reply, rivals) = oneshot::channel();
-        self.context.send(ServiceMessage::Rivals { reply });
+        self.context.send(ServiceMessage::GroupMembers { reply });
         let Ok(mut rivals) = rivals.await else { return };
         let replaced = self.rivals.iter().find(|r| r.is_primary);
         let replaced = replaced.map(|r| r.target.member.clone());
@@ -230,7 +230,7 @@
     fencing
 }
 
-async fn order_to_stop(plan: &TakeoverPlan, rival: &Rival) -> Order {
+async fn order_to_stop(plan: &TakeoverPlan, rival: &GroupMember) -> Order {
     let term = plan.term;
     let order = match rival.is_primary {
         true => MemberRequest::StepDown { term },
@@ -272,7 +272,7 @@
 
 /// A primary is fenced once it follows; a replica once it does not receive. A
 /// replica that turns out to lead is not.
-fn is_fenced(plan: &TakeoverPlan, rival: &Rival, report: &StatusReport) -> bool {
+fn is_fenced(plan: &TakeoverPlan, rival: &GroupMember, report: &StatusReport) -> bool {
     if report.role == Role::Primary {
         return false;
     }
@@ -307,8 +307,8 @@
     let call = async {
         // These connections are few and short: they are not counted.
         let permit = Permit::new(|| {});
-        let mut link = open(target.clone(), codec, permit).await?;
-        exchange::report(&mut link, &codec, order).await
+        let mut connection = open(target.clone(), codec, permit).await?;
+        exchange::report(&mut connection, &codec, order).await
     };
     let answered = compio::time::timeout(ORDER_TIMEOUT, call).await;
     answered.unwrap_or(Err(RelayError::Timeout))
--- a/src/relay/transaction.rs
+++ b/src/relay/transaction.rs
@@ -1,6 +1,6 @@
 //! A transaction of a caller.
 
-use super::{Route, link::Link};
+use super::{Route, connection::Connection};
 use crate::prelude::*;
 
 /// A transaction of a caller. It takes a connection with its first statement.
@@ -12,7 +12,7 @@
     /// Route in force when it began.
     pub route: Arc<Route>,
     /// Its connection.
-    pub link: Option<Link>,
+    pub link: Option<Connection>,
     /// Term that the member led when the connection was granted.
     pub led_term: Option<u64>,
     /// Whether a statement that writes was sent.
