--- a/src/relay/answer.rs
+++ b/src/relay/answer.rs
@@ -87,7 +87,7 @@
 impl StatusReport {
     /// Whether it proves that the member leads, where enough of the others
     /// stand by no term above `others_term`.
-    pub fn leads_against(&self, others_term: u64) -> bool {
+    pub fn confirms_leadership(&self, others_term: u64) -> bool {
         self.role == Role::Primary && others_term <= self.term
     }
 }
--- a/src/relay/codec.rs
+++ b/src/relay/codec.rs
@@ -2,7 +2,9 @@
 
 use bytes::{Bytes, BytesMut};
 
-use super::{Answer, ErrorClass, Result, SessionState, Statement, StatusReport, prepared::Shape};
+use super::{
+    Answer, ErrorClass, Result, SessionState, Statement, StatusReport, prepared::PreparedStatement,
+};
 use crate::prelude::*;
 
 /// A message of a caller.
@@ -30,7 +32,7 @@
         member: &'a str,
     },
     /// A statement of a caller, unchanged.
-    Caller {
+    CallerStatement {
         /// Id that the caller gave it.
         id: &'a [u8],
         /// Position that the member's log must hold.
@@ -70,7 +72,7 @@
         /// Name on the connection.
         name: &'a str,
         /// Whether it reads or writes, and what.
-        shape: &'a Shape,
+        prepared_statement: &'a PreparedStatement,
     },
     /// Forgets values and prepared statements.
     Reset,
@@ -135,7 +137,7 @@
         value: Bytes,
     },
     /// Prepares a statement.
-    Prepare(Shape),
+    Prepare(PreparedStatement),
     /// Forgets values and prepared statements.
     Reset,
     /// Asks for a report of the member.
--- a/src/relay/exchange.rs
+++ b/src/relay/exchange.rs
@@ -5,7 +5,7 @@
 use super::{
     Answer, MemberCodec, MemberRequest, RelayError, Result, Statement, StatementKind, StatusReport,
     link::{Link, Values},
-    prepared::Shape,
+    prepared::PreparedStatement,
 };
 use crate::prelude::*;
 
@@ -16,7 +16,7 @@
     codec: &MemberCodec,
     link: &mut Link,
     values: &Values,
-    shape: Option<&Shape>,
+    prepared_statement: Option<&PreparedStatement>,
 ) -> usize {
     let mut answers = 0;
     let mut put = |request: &MemberRequest<'_>| {
@@ -34,12 +34,12 @@
             link.values.insert(name.clone(), value.clone());
         }
     }
-    if let Some(shape) = shape
-        && link.prepared.insert(shape.name.clone())
+    if let Some(prepared_statement) = prepared_statement
+        && link.prepared.insert(prepared_statement.name.clone())
     {
         put(&MemberRequest::Prepare {
-            name: &shape.name,
-            shape,
+            name: &prepared_statement.name,
+            prepared_statement,
         });
     }
     answers
@@ -96,7 +96,7 @@
 /// # Errors
 ///
 /// Returns an error when the connection breaks or the member refuses.
-pub async fn report(
+pub async fn request_report(
     link: &mut Link,
     codec: &MemberCodec,
     order: &MemberRequest<'_>,
@@ -111,7 +111,7 @@
 /// A statement on its way to a member.
 pub struct Call<'a> {
     pub statement: &'a Statement,
-    pub shape: Option<&'a Shape>,
+    pub prepared_statement: Option<&'a PreparedStatement>,
     pub after: Option<Position>,
     /// Whether the member is asked for a report right after it.
     pub wants_report: bool,
@@ -131,21 +131,21 @@
     call: &Call<'_>,
 ) -> Result<Outcome> {
     let mut output = BytesMut::new();
-    let skipped = put_session(&mut output, codec, link, values, call.shape);
+    let skipped = put_session(&mut output, codec, link, values, call.prepared_statement);
     let statement = call.statement;
-    match (&statement.kind, call.shape) {
-        (StatementKind::Execute { arguments, .. }, Some(shape)) => (codec.encode)(
+    match (&statement.kind, call.prepared_statement) {
+        (StatementKind::Execute { arguments, .. }, Some(prepared_statement)) => (codec.encode)(
             &mut output,
             &MemberRequest::Execute {
                 id: &statement.id,
                 after: call.after,
-                name: &shape.name,
+                name: &prepared_statement.name,
                 arguments,
             },
         ),
         _ => (codec.encode)(
             &mut output,
-            &MemberRequest::Caller {
+            &MemberRequest::CallerStatement {
                 id: &statement.id,
                 after: call.after,
                 text: &statement.text,
--- a/src/relay/forward/conversation.rs
+++ b/src/relay/forward/conversation.rs
@@ -11,7 +11,7 @@
         exchange::{Call, Outcome, begin, run},
         link::{Link, Values},
         message::{Acquire, NoReport, Refused, ServiceMessage, Want},
-        prepared::Shape,
+        prepared::PreparedStatement,
     },
 };
 
@@ -32,7 +32,7 @@
     /// What the VM says; the channel ends when the VM has closed the connection.
     messages: flume::Receiver<Result<ForwardMessage>>,
     values: Rc<Values>,
-    prepared: BTreeMap<Name, Shape>,
+    prepared: BTreeMap<Name, PreparedStatement>,
     /// The member's connection while a transaction is open.
     link: Option<Link>,
 }
@@ -78,8 +78,9 @@
                 Rc::make_mut(&mut self.values).insert(name, value);
                 self.put_done(output);
             }
-            ForwardMessage::Prepare(shape) => {
-                self.prepared.insert(shape.name.clone(), shape);
+            ForwardMessage::Prepare(prepared_statement) => {
+                self.prepared
+                    .insert(prepared_statement.name.clone(), prepared_statement);
                 self.put_done(output);
             }
             ForwardMessage::Reset => {
@@ -187,15 +188,15 @@
         (after, wants_report): (Option<Position>, bool),
         output: &mut BytesMut,
     ) -> Result<bool> {
-        let shape = match &statement.kind {
+        let prepared_statement = match &statement.kind {
             StatementKind::Execute { name, .. } => {
                 let name = String::from_utf8_lossy(name);
-                let Some(shape) = self.prepared.get(&*name) else {
+                let Some(prepared_statement) = self.prepared.get(&*name) else {
                     let text = "no such prepared statement";
                     self.put_error(ErrorClass::NoStatement, text, output);
                     return self.report_if(wants_report, output).await;
                 };
-                Some(shape.clone())
+                Some(prepared_statement.clone())
             }
             _ => None,
         };
@@ -212,7 +213,7 @@
         };
         let call = Call {
             statement,
-            shape: shape.as_ref(),
+            prepared_statement: prepared_statement.as_ref(),
             after,
             wants_report,
         };
--- a/src/relay/handle.rs
+++ b/src/relay/handle.rs
@@ -179,7 +179,7 @@
     }
 
     /// Takes the members as the platform lists them now.
-    pub fn list_members(&self, roster: Roster) {
+    pub fn update_members(&self, roster: Roster) {
         if *self.shared.roster.borrow() == roster {
             return;
         }
@@ -191,7 +191,7 @@
     }
 
     /// Takes the VMs that are at work.
-    pub fn list_vms(&self, vms: Vms) {
+    pub fn update_vms(&self, vms: Vms) {
         if **self.vms.borrow() == vms {
             return;
         }
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -34,7 +34,7 @@
 pub use error::{RelayError, Result};
 pub use handle::Relay;
 pub use options::{Authority, Claim, PromoteOutcome, Promotion, RelayOptions};
-pub use prepared::Shape;
+pub use prepared::PreparedStatement;
 pub use roster::{MemberEntry, Roster};
 pub use statement::{Access, Statement, StatementKind};
 pub use vms::Vms;
--- a/src/relay/prepared.rs
+++ b/src/relay/prepared.rs
@@ -10,7 +10,7 @@
 
 /// What a prepared statement is.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Shape {
+pub struct PreparedStatement {
     /// Whether it reads or writes.
     pub access: Access,
     /// The statement.
@@ -19,9 +19,9 @@
     pub name: Name,
 }
 
-impl Shape {
-    /// Creates a shape and derives its name.
-    pub fn new(access: Access, text: Bytes) -> Shape {
+impl PreparedStatement {
+    /// Creates a prepared statement and derives its name.
+    pub fn new(access: Access, text: Bytes) -> PreparedStatement {
         let mut hasher = SipHasher13::new();
         hasher.write(&text);
         let mark = match access {
@@ -29,6 +29,6 @@
             Access::Write => 'w',
         };
         let name = format!("{mark}{:016x}", hasher.finish()).into();
-        Shape { access, text, name }
+        PreparedStatement { access, text, name }
     }
 }
--- a/src/relay/service/probe.rs
+++ b/src/relay/service/probe.rs
@@ -307,7 +307,7 @@
         let Standing::Proved { term } = self.standing(primary, since_us) else {
             return None;
         };
-        let leads = asked_us > since_us && report.leads_against(term);
+        let leads = asked_us > since_us && report.confirms_leadership(term);
         leads.then_some(report.received)
     }
 }
@@ -327,6 +327,6 @@
         Connection::Open(link) => *link,
         Connection::New(target, permit) => open(target, *codec, permit).await?,
     };
-    let report = exchange::report(&mut link, codec, &MemberRequest::Status).await?;
+    let report = exchange::request_report(&mut link, codec, &MemberRequest::Status).await?;
     Ok((link, report))
 }
--- a/src/relay/session.rs
+++ b/src/relay/session.rs
@@ -21,7 +21,7 @@
     StatementKind,
     handle::Shared,
     link::Values,
-    prepared::Shape,
+    prepared::PreparedStatement,
     socket::{self, Socket},
     transaction::Transaction,
 };
@@ -62,7 +62,7 @@
     shared: &'a Shared,
     database: Name,
     values: Rc<Values>,
-    prepared: BTreeMap<Bytes, Rc<Shape>>,
+    prepared: BTreeMap<Bytes, Rc<PreparedStatement>>,
     transaction: Option<Transaction>,
     /// Position of the session's last acknowledged commit.
     floor: Option<Position>,
@@ -177,10 +177,11 @@
             StatementKind::Prepare {
                 name,
                 access,
-                shape,
+                definition,
             } => {
-                let shape = Shape::new(*access, shape.clone());
-                self.prepared.insert(name.clone(), Rc::new(shape));
+                let prepared_statement = PreparedStatement::new(*access, definition.clone());
+                self.prepared
+                    .insert(name.clone(), Rc::new(prepared_statement));
                 Reply::Done
             }
             StatementKind::Deallocate { name } => match self.prepared.remove(name) {
@@ -208,9 +209,9 @@
     }
 
     async fn run_statement(&mut self, statement: &Statement, arrived_us: u64) -> Reply {
-        let shape = match &statement.kind {
+        let prepared_statement = match &statement.kind {
             StatementKind::Execute { name, .. } => match self.prepared.get(name) {
-                Some(shape) => Some(shape.clone()),
+                Some(prepared_statement) => Some(prepared_statement.clone()),
                 None => {
                     return Reply::error(ErrorClass::NoStatement, "no such prepared statement");
                 }
@@ -219,10 +220,13 @@
         };
         match self.transaction.take() {
             Some(transaction) => {
-                self.run_in_transaction(transaction, statement, shape, arrived_us)
+                self.run_in_transaction(transaction, statement, prepared_statement, arrived_us)
+                    .await
+            }
+            None => {
+                self.run_alone(statement, prepared_statement, arrived_us)
                     .await
             }
-            None => self.run_alone(statement, shape, arrived_us).await,
         }
     }
 }
--- a/src/relay/session/attempt.rs
+++ b/src/relay/session/attempt.rs
@@ -21,10 +21,13 @@
 const WAIT_SHARE: f64 = 0.75;
 
 /// Whether a statement writes.
-pub(super) fn is_write(statement: &Statement, shape: Option<&Shape>) -> bool {
-    match (&statement.kind, shape) {
+pub(super) fn is_write(
+    statement: &Statement,
+    prepared_statement: Option<&PreparedStatement>,
+) -> bool {
+    match (&statement.kind, prepared_statement) {
         (StatementKind::Write, _) => true,
-        (_, Some(shape)) => shape.access == Access::Write,
+        (_, Some(prepared_statement)) => prepared_statement.access == Access::Write,
         _ => false,
     }
 }
--- a/src/relay/session/autocommit.rs
+++ b/src/relay/session/autocommit.rs
@@ -54,7 +54,7 @@
 /// A statement outside a transaction.
 struct Alone<'a> {
     statement: &'a Statement,
-    shape: Option<&'a Shape>,
+    prepared_statement: Option<&'a PreparedStatement>,
     arrived_us: u64,
 }
 
@@ -62,15 +62,15 @@
     pub(super) async fn run_alone(
         &mut self,
         statement: &Statement,
-        shape: Option<Rc<Shape>>,
+        prepared_statement: Option<Rc<PreparedStatement>>,
         arrived_us: u64,
     ) -> Reply {
         let alone = Alone {
             statement,
-            shape: shape.as_deref(),
+            prepared_statement: prepared_statement.as_deref(),
             arrived_us,
         };
-        let writes = is_write(statement, alone.shape);
+        let writes = is_write(statement, alone.prepared_statement);
         let mut avoid = BTreeSet::new();
         let mut failures = 0;
         loop {
@@ -127,7 +127,7 @@
         let proof = needs_proof.then(|| self.prove(service, &member, alone.arrived_us));
         let call = Call {
             statement: alone.statement,
-            shape: alone.shape,
+            prepared_statement: alone.prepared_statement,
             after,
             wants_report: needs_proof,
         };
@@ -156,7 +156,8 @@
         self.give_back(service, link, false, Some(read_us));
         if let Some(proof) = proof {
             let others_term = proof.await.ok().flatten();
-            let leads = |r: &StatusReport| others_term.is_some_and(|term| r.leads_against(term));
+            let leads =
+                |r: &StatusReport| others_term.is_some_and(|term| r.confirms_leadership(term));
             let Some(report) = report.filter(leads) else {
                 return Step::again("the primary is not proved to lead");
             };
@@ -203,7 +204,7 @@
         let member = link.member.clone();
         let call = Call {
             statement: alone.statement,
-            shape: alone.shape,
+            prepared_statement: alone.prepared_statement,
             after: None,
             wants_report: false,
         };
--- a/src/relay/session/transact.rs
+++ b/src/relay/session/transact.rs
@@ -28,16 +28,22 @@
         &mut self,
         mut transaction: Transaction,
         statement: &Statement,
-        shape: Option<Rc<Shape>>,
+        prepared_statement: Option<Rc<PreparedStatement>>,
         arrived_us: u64,
     ) -> Reply {
         let reply = match transaction.link.take() {
             Some(link) => {
-                self.run_pinned(&mut transaction, link, statement, shape, arrived_us)
-                    .await
+                self.run_pinned(
+                    &mut transaction,
+                    link,
+                    statement,
+                    prepared_statement,
+                    arrived_us,
+                )
+                .await
             }
             None => {
-                self.run_first(&mut transaction, statement, shape, arrived_us)
+                self.run_first(&mut transaction, statement, prepared_statement, arrived_us)
                     .await
             }
         };
@@ -53,7 +59,7 @@
         &mut self,
         transaction: &mut Transaction,
         statement: &Statement,
-        shape: Option<Rc<Shape>>,
+        prepared_statement: Option<Rc<PreparedStatement>>,
         arrived_us: u64,
     ) -> Reply {
         let mut avoid = BTreeSet::new();
@@ -70,7 +76,13 @@
                     transaction.led_term = led_term;
                     transaction.has_written = false;
                     let reply = self
-                        .run_pinned(transaction, link, statement, shape.clone(), arrived_us)
+                        .run_pinned(
+                            transaction,
+                            link,
+                            statement,
+                            prepared_statement.clone(),
+                            arrived_us,
+                        )
                         .await;
                     if transaction.link.is_some() || !is_repeatable(&reply) {
                         return reply;
@@ -145,20 +157,20 @@
         transaction: &mut Transaction,
         mut link: Link,
         statement: &Statement,
-        shape: Option<Rc<Shape>>,
+        prepared_statement: Option<Rc<PreparedStatement>>,
         arrived_us: u64,
     ) -> Reply {
         let route = transaction.route.clone();
         let service = &route.service;
         let member = link.member.clone();
-        let writes = is_write(statement, shape.as_deref());
+        let writes = is_write(statement, prepared_statement.as_deref());
         let needs_proof =
             !writes && !transaction.is_proved && route.consistency == Consistency::Primary;
         let proof = needs_proof.then(|| self.prove(service, &member, transaction.began_us));
         transaction.has_written |= writes;
         let call = Call {
             statement,
-            shape: shape.as_deref(),
+            prepared_statement: prepared_statement.as_deref(),
             after: None,
             wants_report: false,
         };
@@ -222,7 +234,7 @@
         let sent_us = clock::boot_us();
         let call = Call {
             statement,
-            shape: None,
+            prepared_statement: None,
             after: None,
             wants_report: false,
         };
--- a/src/relay/statement.rs
+++ b/src/relay/statement.rs
@@ -43,7 +43,7 @@
         /// Whether it reads or writes.
         access: Access,
         /// The statement.
-        shape: Bytes,
+        definition: Bytes,
     },
     /// Runs a prepared statement.
     Execute {
--- a/src/relay/takeover.rs
+++ b/src/relay/takeover.rs
@@ -308,7 +308,7 @@
         // These connections are few and short: they are not counted.
         let permit = Permit::new(|| {});
         let mut link = open(target.clone(), codec, permit).await?;
-        exchange::report(&mut link, &codec, order).await
+        exchange::request_report(&mut link, &codec, order).await
     };
     let answered = compio::time::timeout(ORDER_TIMEOUT, call).await;
     answered.unwrap_or(Err(RelayError::Timeout))
