--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -35,6 +35,6 @@
 pub use handle::Relay;
 pub use member_list::{MemberEntry, MemberList};
 pub use options::{Authority, Claim, PromoteOutcome, Promotion, RelayOptions};
-pub use prepared::Shape;
+pub use prepared::PreparedStatement;
 pub use statement::{Access, Statement, StatementKind};
 pub use vms::Vms;
--- a/src/relay/service/probe.rs
+++ b/src/relay/service/probe.rs
@@ -311,7 +311,7 @@
         let LeadershipCheck::Confirmed { term } = self.standing(primary, since_us) else {
             return None;
         };
-        let leads = asked_us > since_us && report.leads_against(term);
+        let leads = asked_us > since_us && report.confirms_leadership(term);
         leads.then_some(report.received)
     }
 }
@@ -334,6 +334,6 @@
         ProbeConnection::Open(connection) => *connection,
         ProbeConnection::New(target, permit) => open(target, *codec, permit).await?,
     };
-    let report = exchange::report(&mut connection, codec, &MemberRequest::Status).await?;
+    let report = exchange::request_report(&mut connection, codec, &MemberRequest::Status).await?;
     Ok((connection, report))
 }
