--- a/src/cmd/config.rs
+++ b/src/cmd/config.rs
@@ -12,7 +12,7 @@
 use crate::{
     control::{
         apply::{self, Accepted},
-        peer::News,
+        peer::ConfigUpdate,
     },
     decide::rollout::SiteChange,
     prelude::*,
@@ -151,7 +151,7 @@
 }
 
 async fn tell(connections: &Connections, vms: &[ListedVm], accepted: Accepted) {
-    let news = News {
+    let news = ConfigUpdate {
         head: accepted.head,
         change: accepted.change,
     };
--- a/src/control/node/config.rs
+++ b/src/control/node/config.rs
@@ -7,7 +7,7 @@
     clock,
     control::{
         keys,
-        peer::{News, WholeSite},
+        peer::{ConfigUpdate, WholeSite},
     },
     decide::rollout::{Head, Plan, SiteChange},
     prelude::*,
@@ -92,7 +92,7 @@
         });
     }
 
-    pub(super) fn hear_news(&mut self, news: News) {
+    pub(super) fn hear_news(&mut self, news: ConfigUpdate) {
         self.hear_head(news.head, Some(news.change));
     }
 
@@ -226,7 +226,7 @@
             .filter_map(|vm| self.address_of(vm))
             .collect();
         let head = head.for_news();
-        let news = News { head, change };
+        let news = ConfigUpdate { head, change };
         for address in addresses {
             let peers = self.peers.clone();
             let news = news.clone();
--- a/src/control/node/message.rs
+++ b/src/control/node/message.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     control::{
-        peer::{News, OrderAnswer, Ping, Pong, WholeSite},
+        peer::{ConfigUpdate, OrderAnswer, Ping, Pong, WholeSite},
         service_row::ServiceRow,
         status::VmStatus,
     },
@@ -103,7 +103,7 @@
     /// Another VM tells of a configuration version.
     News {
         /// The version.
-        news: Box<News>,
+        news: Box<ConfigUpdate>,
         /// Answer: the version in force.
         reply: oneshot::Sender<Option<u64>>,
     },
--- a/src/control/peer.rs
+++ b/src/control/peer.rs
@@ -31,7 +31,7 @@
 
 /// A new configuration version, with what it changed.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct News {
+pub struct ConfigUpdate {
     /// The head row.
     pub head: Head,
     /// The change that made it.
@@ -66,7 +66,7 @@
     /// All VMs that this one knows.
     async fn members() -> Vec<Change>;
     /// Tells of a configuration version; the version in force afterwards.
-    async fn push(news: News) -> Option<u64>;
+    async fn push(news: ConfigUpdate) -> Option<u64>;
     /// The changes after a version, if they are still known.
     async fn changes(after: u64) -> Option<(Head, Vec<SiteChange>)>;
     /// The whole configuration.
--- a/src/control/peer_server.rs
+++ b/src/control/peer_server.rs
@@ -9,7 +9,7 @@
 
 use super::{
     node::NodeMessage,
-    peer::{News, OrderAnswer, Peer, Ping, Pong, WholeSite},
+    peer::{ConfigUpdate, OrderAnswer, Peer, Ping, Pong, WholeSite},
     peer_clients::{ByteCount, spawn_each, transport},
     service_row::ServiceRow,
     status::VmStatus,
@@ -71,7 +71,7 @@
         answer.unwrap_or_default()
     }
 
-    async fn push(self, _: Context, news: News) -> Option<u64> {
+    async fn push(self, _: Context, news: ConfigUpdate) -> Option<u64> {
         let news = Box::new(news);
         let answer = self.ask(|reply| NodeMessage::News { news, reply }).await;
         answer.flatten()
--- a/standin/src/load/slopes.rs
+++ b/standin/src/load/slopes.rs
@@ -12,7 +12,7 @@
 
 use foxtailknot::{
     control::{
-        peer::{News, Ping},
+        peer::{ConfigUpdate, Ping},
         service_row::ServiceRow,
     },
     decide::{
@@ -265,7 +265,7 @@
             version: kept,
             services: [("service-1".into(), Some(service(1)))].into(),
         };
-        let news = News { head, change };
+        let news = ConfigUpdate { head, change };
         print(json!({
             "slope": "message", "kind": "news", "changes_kept": kept,
             "bytes": bytes(serde_json::to_vec(&news)),
