--- a/src/control/daemon.rs
+++ b/src/control/daemon.rs
@@ -17,12 +17,12 @@
     metrics::Metrics,
     prelude::*,
     proxy::{
-        caller::Entry,
+        caller::ListenerKind,
         cancel::CancelRegistry,
-        context::{Context, Locate},
+        context::{Context, RouteRequest},
         listener,
+        peer_pool::PeerPool,
         route_table::RouteTable,
-        trunk::TrunkHandle,
     },
     settings::VmSettings,
     signals::{self, SignalWatch},
@@ -110,9 +110,14 @@
     let (draining, draining_seen) = watch::channel(false);
     let (mailbox, messages) = flume::unbounded();
     let count = Rc::new(Cell::new(0));
-    let (locate, located) = flume::unbounded();
+    let (route_requests, route_requests_seen) = flume::unbounded();
     let (primary_failed, failures) = flume::unbounded();
-    spawn(pass_on(located, mailbox.clone(), NodeMessage::Locate)).detach();
+    spawn(pass_on(
+        route_requests_seen,
+        mailbox.clone(),
+        NodeMessage::Locate,
+    ))
+    .detach();
     spawn(pass_on(
         failures,
         mailbox.clone(),
@@ -146,20 +151,20 @@
         &settings,
         metrics,
         routes_seen,
-        locate,
+        route_requests,
         draining_seen.clone(),
     );
     spawn(listener::accept(
         context.clone(),
         callers,
-        Entry::Public,
+        ListenerKind::Public,
         count.clone(),
     ))
     .detach();
     spawn(listener::accept(
         context,
         internal,
-        Entry::Internal,
+        ListenerKind::Internal,
         count.clone(),
     ))
     .detach();
@@ -190,15 +195,15 @@
     settings: &Arc<VmSettings>,
     metrics: Metrics,
     routes: watch::Receiver<Rc<RouteTable>>,
-    locate: flume::Sender<Locate>,
+    route_requests: flume::Sender<RouteRequest>,
     draining: watch::Receiver<bool>,
 ) -> Context {
     Context {
         settings: settings.clone(),
         metrics,
         routes,
-        locate,
-        trunks: TrunkHandle::start(),
+        route_requests,
+        peer_pool: PeerPool::start(),
         draining,
         cancels: CancelRegistry::default(),
     }
--- a/src/control/delegate.rs
+++ b/src/control/delegate.rs
@@ -9,7 +9,7 @@
     decide::failover::{Action, Event, Failover, FailoverSettings, PhaseName},
     metrics::{Metrics, label, name_label},
     prelude::*,
-    proxy::{connect::Target, link::LinkTarget},
+    proxy::{connect::ConnectOptions, connection::ConnectionTarget},
     settings::ServiceSettings,
 };
 
@@ -93,16 +93,16 @@
         let failover = Failover::new(settings, list.len(), clock::now_ms())
             .leaving(leaving.map(|(index, _)| index));
         let operations = list.iter().enumerate().map(|(index, (_, member))| {
-            let target = Target {
+            let options = ConnectOptions {
                 address: member.address,
                 user: context.settings.user.clone(),
                 database: context.settings.database.clone(),
-                link_target: LinkTarget::Member {
+                target: ConnectionTarget::Member {
                     member: index,
                     term: 0,
                 },
             };
-            start_operations(index, target, events.clone())
+            start_operations(index, options, events.clone())
         });
         Delegate {
             operations: operations.collect(),
@@ -192,7 +192,7 @@
 
 fn start_operations(
     member: usize,
-    target: Target,
+    options: ConnectOptions,
     events: flume::WeakSender<Event>,
 ) -> flume::Sender<Operation> {
     let (sender, operations) = flume::unbounded();
@@ -207,6 +207,6 @@
             let _ = events.send(event);
         }
     };
-    compio::runtime::spawn(operate(target, operations, tell)).detach();
+    compio::runtime::spawn(operate(options, operations, tell)).detach();
     sender
 }
--- a/src/control/node/message.rs
+++ b/src/control/node/message.rs
@@ -13,7 +13,7 @@
         rollout::{Head, SiteChange},
     },
     prelude::*,
-    proxy::context::Locate,
+    proxy::context::RouteRequest,
     settings::SiteSettings,
     store::{ListedVm, Result, Row, Written},
 };
@@ -30,7 +30,7 @@
 /// A message to the control task.
 pub enum NodeMessage {
     /// A caller needs the route to a service.
-    Locate(Locate),
+    Locate(RouteRequest),
     /// The head row was read.
     HeadRead(Result<Option<Row<Head>>>),
     /// Objects of a configuration were fetched.
--- a/src/control/node/mod.rs
+++ b/src/control/node/mod.rs
@@ -32,7 +32,7 @@
     },
     metrics::Metrics,
     prelude::*,
-    proxy::{context::Locate, route_table::RouteTable, slot::SlotHandle},
+    proxy::{context::RouteRequest, route_table::RouteTable, slot::SlotHandle},
     settings::{ServiceSettings, SiteSettings, VmSettings},
     store::{Row, StoreClient},
 };
@@ -112,7 +112,7 @@
     slots: BTreeMap<Name, OwnSlot>,
     delegates: BTreeMap<Name, OwnDelegate>,
     promoted: BTreeMap<Name, (u64, Name)>,
-    waiting_for_site: Vec<Locate>,
+    waiting_for_site: Vec<RouteRequest>,
     due: Due,
     last_tick_ms: u64,
     has_listed_vms: bool,
--- a/src/control/node/services.rs
+++ b/src/control/node/services.rs
@@ -9,7 +9,7 @@
     decision_log::decision,
     prelude::*,
     proxy::{
-        context::Locate,
+        context::RouteRequest,
         route_table::{Holder, Route, RouteTable},
         slot::{self, SlotContext, SlotHandle, SlotMessage},
     },
@@ -178,7 +178,7 @@
     }
 
     /// A caller needs a route that the table lacks or that has failed.
-    pub(super) fn locate(&mut self, locate: Locate) {
+    pub(super) fn locate(&mut self, locate: RouteRequest) {
         if self.head.is_none() {
             self.waiting_for_site.push(locate);
             return;
--- a/src/control/operate.rs
+++ b/src/control/operate.rs
@@ -4,10 +4,10 @@
     decide::member::MemberStatus,
     prelude::*,
     proxy::{
-        connect::{Target, connect},
+        connect::{ConnectOptions, connect},
+        connection::Connection,
         error::{ProxyError, Result},
-        link::Link,
-        watch::call,
+        status_query::query_status,
     },
 };
 
@@ -39,22 +39,22 @@
 ///
 /// Probes that wait behind another one are left out.
 pub async fn operate(
-    target: Target,
+    options: ConnectOptions,
     operations: flume::Receiver<Operation>,
     tell: impl Fn(Operation, Option<MemberStatus>),
 ) {
-    let mut link = None;
+    let mut connection = None;
     while let Ok(operation) = operations.recv_async().await {
         let is_superseded = operation == Operation::Probe && !operations.is_empty();
         if is_superseded {
             continue;
         }
-        let run = run(&mut link, &target, operation);
+        let run = run(&mut connection, &options, operation);
         let result = compio::time::timeout(OPERATION_TIMEOUT, run).await;
         let status = match result {
             Ok(Ok(status)) => Some(status),
             _ => {
-                link = None;
+                connection = None;
                 None
             }
         };
@@ -63,16 +63,16 @@
 }
 
 async fn run(
-    link: &mut Option<Link>,
-    target: &Target,
+    connection: &mut Option<Connection>,
+    options: &ConnectOptions,
     operation: Operation,
 ) -> Result<MemberStatus> {
-    if link.as_ref().is_some_and(|l| l.wire.is_stale()) {
-        *link = None;
+    if connection.as_ref().is_some_and(|c| c.wire.is_stale()) {
+        *connection = None;
     }
-    if link.is_none() {
-        *link = Some(connect(target.clone(), None).await?);
+    if connection.is_none() {
+        *connection = Some(connect(options.clone(), None).await?);
     }
-    let link = link.as_mut().ok_or(ProxyError::Closed)?;
-    call(link, &operation.sql()).await
+    let connection = connection.as_mut().ok_or(ProxyError::Closed)?;
+    query_status(connection, &operation.sql()).await
 }
--- a/src/proxy/caller.rs
+++ b/src/proxy/caller.rs
@@ -11,11 +11,11 @@
 
 use super::{
     cancel::Running,
+    connection::{Connection, ConnectionTarget},
     context::Context,
     error::{ProxyError, Refusal, Result},
-    exchange::{Answer, Broken, Exchange, IDLE},
+    exchange::{Answer, Exchange, ExchangeError, IDLE},
     frame::{Frame, from_caller},
-    link::{Link, LinkTarget},
     local, message,
     request::{Ending, Request, gather},
     route_table::Route,
@@ -56,7 +56,7 @@
 
 /// Which listener a caller came through.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Entry {
+pub enum ListenerKind {
     /// The listener for callers.
     Public,
     /// The listener for callers that other VMs forward.
@@ -65,7 +65,7 @@
 
 /// A connection that a request uses, with where it came from.
 struct Held {
-    link: Link,
+    connection: Connection,
     slot: Option<SlotHandle>,
     since_us: u64,
     is_primary: bool,
@@ -83,13 +83,13 @@
     wire: Wire,
     session: Session,
     context: Context,
-    entry: Entry,
+    entry: ListenerKind,
     key: (i32, i32),
     held: Option<Held>,
 }
 
 /// Serves a caller until it leaves.
-pub async fn serve(context: Context, stream: TcpStream, entry: Entry) {
+pub async fn serve(context: Context, stream: TcpStream, entry: ListenerKind) {
     let mut wire = Wire::new(stream, context.settings.request_max_bytes);
     let opening = compio::time::timeout(STARTUP_TIMEOUT, startup::read_opening(&mut wire)).await;
     let started = match opening {
@@ -125,18 +125,18 @@
 async fn admit(
     context: &Context,
     started: &pgwire::messages::startup::Startup,
-    entry: Entry,
+    entry: ListenerKind,
 ) -> std::result::Result<Session, Refusal> {
     if context.is_draining() {
         return Err(Refusal::new(Code::Stopping, "this VM is stopping"));
     }
     let trusts = context.settings.authentication == Authentication::Trust;
-    if entry == Entry::Public && !trusts {
+    if entry == ListenerKind::Public && !trusts {
         let text = "authentication is not set up on this listener";
         return Err(Refusal::new(Code::StartupRefused, text));
     }
     let session = startup::start_session(started)?;
-    context.locate(&session.service, false).await?;
+    context.find_route(&session.service, false).await?;
     Ok(session)
 }
 
@@ -291,22 +291,22 @@
     let floor = Floor::Unknown;
     let granted = slot.acquire(Want::Begin { floor }, deadline_ms).await;
     let mut granted = granted.map_err(|_| unknown("no primary tells what became of the commit"))?;
-    let (Some(now), LinkTarget::Member { member, term }) =
-        (granted.floor, granted.link.target.clone())
+    let (Some(now), ConnectionTarget::Member { member, term }) =
+        (granted.floor, granted.connection.target.clone())
     else {
         return Err(unknown("no primary tells what became of the commit"));
     };
     if term != now.term {
         return Err(unknown("the primary changed again meanwhile"));
     }
-    let asked = super::watch::term_at(&mut granted.link, commit.position.lsn);
+    let asked = super::status_query::term_at(&mut granted.connection, commit.position.lsn);
     let found = compio::time::timeout(clock::until(deadline_ms), asked).await;
     let Ok(Ok(found)) = found else {
         return Err(unknown(
             "the new primary did not tell what became of the commit",
         ));
     };
-    slot.release(granted.link, true, 0);
+    slot.release(granted.connection, true, 0);
     match fate(&commit, now, member, found) {
         Fate::Discarded => {
             let text = "the primary failed before the commit was safe; it was not run";
--- a/src/proxy/caller/attempt.rs
+++ b/src/proxy/caller/attempt.rs
@@ -5,7 +5,7 @@
 impl Caller {
     /// Runs a request, again if it is proved that it was not run.
     pub(super) async fn attempt_until_deadline(&mut self, request: &Request) -> Result<()> {
-        let route = match self.context.locate(&self.session.service, false).await {
+        let route = match self.context.find_route(&self.session.service, false).await {
             Ok(route) => route,
             Err(refusal) => {
                 self.refuse(request, &refusal);
@@ -82,14 +82,17 @@
         deadline_ms: u64,
         is_stale: bool,
     ) -> std::result::Result<Held, Refusal> {
-        let route = self.context.locate(&self.session.service, is_stale).await?;
+        let route = self
+            .context
+            .find_route(&self.session.service, is_stale)
+            .await?;
         if let Some(slot) = route.slot.clone() {
             let granted = slot.acquire(want, deadline_ms).await?;
             if let Some(position) = granted.floor {
                 self.session.reach(position);
             }
             return Ok(Held {
-                link: granted.link,
+                connection: granted.connection,
                 slot: Some(slot),
                 since_us: clock::now_us(),
                 is_primary: granted.is_primary,
@@ -103,18 +106,21 @@
         route: &Route,
     ) -> std::result::Result<Held, Refusal> {
         let mut last = Refusal::new(Code::NoSlot, "no VM holds a slot of the service");
-        if self.entry == Entry::Internal {
+        if self.entry == ListenerKind::Internal {
             // Forwarding again could go in circles.
             let text = "this VM holds no slot of the service";
             return Err(Refusal::new(Code::NoSlot, text));
         }
         for holder in &route.holders {
-            let trunks = &self.context.trunks;
+            let peer_pool = &self.context.peer_pool;
             let service = &self.session.service;
-            match trunks.acquire(service, &holder.vm, holder.internal).await {
-                Ok(link) => {
+            match peer_pool
+                .acquire(service, &holder.vm, holder.internal)
+                .await
+            {
+                Ok(connection) => {
                     return Ok(Held {
-                        link,
+                        connection,
                         slot: None,
                         since_us: clock::now_us(),
                         is_primary: false,
@@ -124,7 +130,7 @@
             }
         }
         // What is known of the holders has failed: look again.
-        let _ = self.context.locate(&self.session.service, true).await;
+        let _ = self.context.find_route(&self.session.service, true).await;
         Err(last)
     }
 
@@ -142,26 +148,28 @@
         self.context.cancels.set(
             self.key,
             Some(Running {
-                address: held.link.address,
-                key: held.link.key,
+                address: held.connection.address,
+                key: held.connection.key,
             }),
         );
         let slot = held.slot.clone();
-        let target = held.link.target.clone();
+        let target = held.connection.target.clone();
         let context = self.context.clone();
         let service = self.session.service.clone();
         let is_dead = async || match (&slot, &target) {
-            (Some(slot), LinkTarget::Member { member, term }) => slot.is_gone(*member, *term).await,
-            (_, LinkTarget::Vm { vm }) => !is_holder(&context, &service, vm),
+            (Some(slot), ConnectionTarget::Member { member, term }) => {
+                slot.is_gone(*member, *term).await
+            }
+            (_, ConnectionTarget::Vm { vm }) => !is_holder(&context, &service, vm),
             _ => false,
         };
-        let exchange = Exchange::new(&mut held.link, &mut self.wire, &mut self.session);
+        let exchange = Exchange::new(&mut held.connection, &mut self.wire, &mut self.session);
         let outcome = exchange.run(request, asks_position, is_dead).await;
         self.context.cancels.set(self.key, None);
         match outcome {
             Ok(answer) => self.conclude(request, held, answer, is_pinned).await,
-            Err(Broken::Caller(error)) => Err(error),
-            Err(Broken::Link(error, is_passed)) => {
+            Err(ExchangeError::Caller(error)) => Err(error),
+            Err(ExchangeError::Connection(error, is_passed)) => {
                 self.report_failure(&held);
                 drop(held);
                 self.conclude_broken(request, &error, is_passed, is_pinned)
@@ -170,7 +178,9 @@
     }
 
     pub(super) fn report_failure(&self, held: &Held) {
-        if let (Some(slot), LinkTarget::Member { member, .. }) = (&held.slot, &held.link.target) {
+        if let (Some(slot), ConnectionTarget::Member { member, .. }) =
+            (&held.slot, &held.connection.target)
+        {
             slot.send(crate::proxy::slot::SlotMessage::Failed { member: *member });
         }
     }
--- a/src/proxy/caller/conclude.rs
+++ b/src/proxy/caller/conclude.rs
@@ -70,7 +70,10 @@
         let wrote = request.may_write() || is_pinned;
         if held.is_primary && has_committed && wrote && held.slot.is_some() {
             if answer.lsn.is_none() {
-                answer.lsn = Exchange::position(&mut held.link).await.ok().flatten();
+                answer.lsn = Exchange::position(&mut held.connection)
+                    .await
+                    .ok()
+                    .flatten();
             }
             if let Err(refusal) = self.acknowledge(&held, answer.lsn).await {
                 self.release(held, true);
@@ -114,7 +117,8 @@
         lsn: Option<Lsn>,
     ) -> std::result::Result<(), Refusal> {
         let unknown = |text: &str| Refusal::new(Code::CommitUnconfirmed, text);
-        let (Some(slot), LinkTarget::Member { member, term }) = (&held.slot, &held.link.target)
+        let (Some(slot), ConnectionTarget::Member { member, term }) =
+            (&held.slot, &held.connection.target)
         else {
             return Ok(());
         };
@@ -146,11 +150,11 @@
     pub(super) fn release(&mut self, held: Held, is_clean: bool) {
         let held_us = clock::now_us().saturating_sub(held.since_us);
         match held.slot {
-            Some(slot) => slot.release(held.link, is_clean, held_us),
+            Some(slot) => slot.release(held.connection, is_clean, held_us),
             None => self
                 .context
-                .trunks
-                .release(&self.session.service, held.link),
+                .peer_pool
+                .release(&self.session.service, held.connection),
         }
     }
 }
--- a/src/proxy/connect.rs
+++ b/src/proxy/connect.rs
@@ -7,9 +7,9 @@
 use pgwire::messages::startup::{Authentication, BackendKeyData, SecretKey, Startup};
 
 use super::{
+    connection::{Connection, ConnectionTarget, Permit},
     error::{ProxyError, Result},
     frame::from_endpoint as tag,
-    link::{Link, LinkTarget, Permit},
     message,
     wire::Wire,
 };
@@ -24,7 +24,7 @@
 
 /// Whom to connect as, and where.
 #[derive(Clone, Debug)]
-pub struct Target {
+pub struct ConnectOptions {
     /// Address.
     pub address: SocketAddr,
     /// User.
@@ -32,7 +32,7 @@
     /// Database.
     pub database: Name,
     /// What the connection leads to.
-    pub link_target: LinkTarget,
+    pub target: ConnectionTarget,
 }
 
 /// Opens a connection.
@@ -40,16 +40,16 @@
 /// # Errors
 ///
 /// Returns an error when nobody answers or the other side refuses.
-pub async fn connect(target: Target, permit: Option<Permit>) -> Result<Link> {
-    let opened = compio::time::timeout(CONNECT_TIMEOUT, open(target, permit)).await;
+pub async fn connect(options: ConnectOptions, permit: Option<Permit>) -> Result<Connection> {
+    let opened = compio::time::timeout(CONNECT_TIMEOUT, open(options, permit)).await;
     opened.map_err(|_| ProxyError::Timeout)?
 }
 
-async fn open(target: Target, permit: Option<Permit>) -> Result<Link> {
-    let stream = TcpStream::connect(target.address).await?;
+async fn open(options: ConnectOptions, permit: Option<Permit>) -> Result<Connection> {
+    let stream = TcpStream::connect(options.address).await?;
     stream.set_nodelay(true)?;
     let mut wire = Wire::new(stream, FRAME_MAX_BYTES);
-    put_startup(wire.output(), &target);
+    put_startup(wire.output(), &options);
     wire.flush().await?;
     let mut key = (0, 0);
     loop {
@@ -75,10 +75,10 @@
             _ => {}
         }
     }
-    Ok(Link {
+    Ok(Connection {
         wire,
-        address: target.address,
-        target: target.link_target,
+        address: options.address,
+        target: options.target,
         prepared: BTreeSet::new(),
         unnamed: None,
         parameters: Arc::default(),
@@ -87,13 +87,13 @@
     })
 }
 
-fn put_startup(output: &mut BytesMut, target: &Target) {
+fn put_startup(output: &mut BytesMut, options: &ConnectOptions) {
     let mut startup = Startup::new();
     let mut put = |name: &str, value: &str| {
         startup.parameters.insert(name.to_owned(), value.to_owned());
     };
-    put("user", &target.user);
-    put("database", &target.database);
+    put("user", &options.user);
+    put("database", &options.database);
     put("application_name", APPLICATION_NAME);
     message::put(output, &startup);
 }
--- a/src/proxy/link.rs
+++ b/src/proxy/connection.rs
@@ -10,7 +10,7 @@
 
 /// Where a connection leads.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum LinkTarget {
+pub enum ConnectionTarget {
     /// To a member, opened or chosen while it stood in this term.
     Member {
         /// Index of the member.
@@ -44,11 +44,11 @@
 }
 
 /// A connection with what is known of its state.
-pub struct Link {
+pub struct Connection {
     /// The socket.
     pub wire: Wire,
     /// Where it leads.
-    pub target: LinkTarget,
+    pub target: ConnectionTarget,
     /// Address it leads to.
     pub address: SocketAddr,
     /// Statements it knows by key.
@@ -63,7 +63,7 @@
     pub permit: Option<Permit>,
 }
 
-impl Link {
+impl Connection {
     /// Whether it may serve another request now.
     pub fn is_reusable(&self) -> bool {
         !self.is_worn() && !self.wire.is_stale()
--- a/src/proxy/context.rs
+++ b/src/proxy/context.rs
@@ -8,13 +8,13 @@
 use super::{
     cancel::CancelRegistry,
     error::Refusal,
+    peer_pool::PeerPool,
     route_table::{Route, RouteTable},
-    trunk::TrunkHandle,
 };
 use crate::{metrics::Metrics, prelude::*, settings::VmSettings};
 
 /// A question for the route to a service that the table lacks.
-pub struct Locate {
+pub struct RouteRequest {
     /// Name of the service.
     pub service: Name,
     /// Whether what is known has just failed.
@@ -33,9 +33,9 @@
     /// Routes as published last.
     pub routes: watch::Receiver<Rc<RouteTable>>,
     /// Asks the control task for a route.
-    pub locate: flume::Sender<Locate>,
+    pub route_requests: flume::Sender<RouteRequest>,
     /// Connections to slots on other VMs.
-    pub trunks: TrunkHandle,
+    pub peer_pool: PeerPool,
     /// Set once the VM is stopping.
     pub draining: watch::Receiver<bool>,
     /// Requests that can be cancelled.
@@ -53,19 +53,19 @@
     /// # Errors
     ///
     /// Returns a refusal when the service is not configured.
-    pub async fn locate(&self, service: &Name, is_stale: bool) -> Result<Route, Refusal> {
+    pub async fn find_route(&self, service: &Name, is_stale: bool) -> Result<Route, Refusal> {
         let is_reachable = |r: &Route| r.slot.is_some() || !r.holders.is_empty();
         if let Some(route) = self.route(service).filter(|r| is_reachable(r) && !is_stale) {
             return Ok(route);
         }
         let (reply, answer) = oneshot::channel();
-        let question = Locate {
+        let question = RouteRequest {
             service: service.clone(),
             is_stale,
             reply,
         };
         // Without an answer the table stays as it is.
-        let _ = self.locate.send(question);
+        let _ = self.route_requests.send(question);
         let _ = answer.await;
         self.route(service).ok_or_else(|| {
             let text = format!("service {service:?} is not configured");
--- a/src/proxy/exchange.rs
+++ b/src/proxy/exchange.rs
@@ -18,9 +18,9 @@
 };
 
 use super::{
+    connection::{Connection, ConnectionTarget},
     error::{ProxyError, Result},
     frame::{Chunk, Frame, from_caller, from_endpoint as tag},
-    link::{Link, LinkTarget},
     message,
     owed::{Owed, OwedList, Verdict},
     prepared::Prepared,
@@ -70,10 +70,10 @@
 
 /// Why an exchange broke off.
 #[derive(Debug)]
-pub enum Broken {
+pub enum ExchangeError {
     /// The connection to the endpoint; the flag tells whether part of the
     /// answer has left this VM.
-    Link(ProxyError, bool),
+    Connection(ProxyError, bool),
     /// The connection to the caller.
     Caller(ProxyError),
 }
@@ -87,7 +87,7 @@
 
 /// One request on one connection.
 pub struct Exchange<'a> {
-    link: &'a mut Link,
+    connection: &'a mut Connection,
     caller: &'a mut Wire,
     session: &'a mut Session,
     owed: OwedList,
@@ -99,10 +99,14 @@
 
 impl<'a> Exchange<'a> {
     /// Prepares an exchange.
-    pub fn new(link: &'a mut Link, caller: &'a mut Wire, session: &'a mut Session) -> Exchange<'a> {
+    pub fn new(
+        connection: &'a mut Connection,
+        caller: &'a mut Wire,
+        session: &'a mut Session,
+    ) -> Exchange<'a> {
         let mark = caller.output().len();
         Exchange {
-            link,
+            connection,
             caller,
             session,
             owed: OwedList::default(),
@@ -126,13 +130,13 @@
         request: &Request,
         asks_position: bool,
         is_dead: impl AsyncFn() -> bool,
-    ) -> std::result::Result<Answer, Broken> {
+    ) -> std::result::Result<Answer, ExchangeError> {
         self.asks_position = asks_position;
         self.queue_preamble();
-        let queued = self.queue(request).map_err(Broken::Caller);
+        let queued = self.queue(request).map_err(ExchangeError::Caller);
         queued?;
         if asks_position {
-            message::put_query(self.link.wire.output(), POSITION_SQL);
+            message::put_query(self.connection.wire.output(), POSITION_SQL);
         }
         if let Err(error) = self.send().await {
             return Err(self.broken(error));
@@ -145,12 +149,12 @@
     /// # Errors
     ///
     /// Returns an error when the connection broke.
-    pub async fn position(link: &mut Link) -> Result<Option<Lsn>> {
-        message::put_query(link.wire.output(), POSITION_SQL);
-        link.wire.flush().await?;
+    pub async fn position(connection: &mut Connection) -> Result<Option<Lsn>> {
+        message::put_query(connection.wire.output(), POSITION_SQL);
+        connection.wire.flush().await?;
         let mut lsn = None;
         loop {
-            let frame = link.wire.next_frame().await?;
+            let frame = connection.wire.next_frame().await?;
             match frame.tag() {
                 tag::ROW => lsn = message::row_lsn(&frame),
                 tag::READY => return Ok(lsn),
@@ -163,10 +167,10 @@
         mut self,
         ending: Ending,
         is_dead: &impl AsyncFn() -> bool,
-    ) -> std::result::Result<Answer, Broken> {
+    ) -> std::result::Result<Answer, ExchangeError> {
         self.settle_own();
         while !self.is_done(ending) {
-            let chunk = match next_chunk(&mut self.link.wire, is_dead).await {
+            let chunk = match next_chunk(&mut self.connection.wire, is_dead).await {
                 Ok(chunk) => chunk,
                 Err(error) => return Err(self.broken(error)),
             };
@@ -179,7 +183,7 @@
             }
             if self.caller.is_full() {
                 self.answer.is_passed = true;
-                self.caller.flush().await.map_err(Broken::Caller)?;
+                self.caller.flush().await.map_err(ExchangeError::Caller)?;
                 self.mark = 0;
             }
         }
@@ -197,11 +201,11 @@
     }
 
     /// Forgets what was queued for the caller, if none of it has left.
-    fn broken(self, error: ProxyError) -> Broken {
+    fn broken(self, error: ProxyError) -> ExchangeError {
         if !self.answer.is_passed {
             self.caller.output().truncate(self.mark);
         }
-        Broken::Link(error, self.answer.is_passed)
+        ExchangeError::Connection(error, self.answer.is_passed)
     }
 }
 
@@ -233,7 +237,7 @@
     sql
 }
 
-fn trunk_preamble(session: &Session) -> String {
+fn peer_preamble(session: &Session) -> String {
     let mut sql = format!("SET {TOKEN_PARAMETER} = {}", quote(&session.token()));
     let max_age_ms = session.max_age_ms.map(|ms| ms.to_string());
     let max_age_ms = max_age_ms.unwrap_or_default();
--- a/src/proxy/exchange/answer.rs
+++ b/src/proxy/exchange/answer.rs
@@ -16,7 +16,7 @@
             tag::ERROR => {
                 let (_, text) = message::error_fields(frame);
                 self.check_stopping(&text)?;
-                self.link.parameters = Arc::default();
+                self.connection.parameters = Arc::default();
                 Err(ProxyError::Refused { text })
             }
             tag::READY => {
@@ -40,9 +40,9 @@
                 self.check_stopping(&text)?;
                 self.answer.error_state = Some(state);
                 for key in self.owed.clear() {
-                    self.link.prepared.remove(&key);
+                    self.connection.prepared.remove(&key);
                 }
-                self.link.unnamed = None;
+                self.connection.unnamed = None;
                 self.hold(frame);
             }
             tag::COMPLETE => {
@@ -54,7 +54,7 @@
             other => {
                 let (verdict, key) = self.owed.settle(other);
                 if let Some(key) = key {
-                    self.link.prepared.insert(key);
+                    self.connection.prepared.insert(key);
                 }
                 if verdict == Verdict::Pass {
                     self.pass(&frame.bytes);
@@ -67,7 +67,7 @@
 
     /// A VM that stops says so instead of running the request.
     pub(super) fn check_stopping(&self, text: &str) -> Result<()> {
-        let is_vm = matches!(self.link.target, LinkTarget::Vm { .. });
+        let is_vm = matches!(self.connection.target, ConnectionTarget::Vm { .. });
         let number = Code::Stopping.number();
         if is_vm && text.starts_with(&format!("FK{number}:")) {
             return Err(ProxyError::NotRun { text: text.into() });
@@ -102,7 +102,7 @@
 
     /// A slot on another VM reports the session's position this way.
     pub(super) fn take_parameter(&mut self, frame: &Frame) {
-        let LinkTarget::Vm { .. } = self.link.target else {
+        let ConnectionTarget::Vm { .. } = self.connection.target else {
             return;
         };
         let Some((name, value)) = message::parameter(frame) else {
--- a/src/proxy/exchange/queue.rs
+++ b/src/proxy/exchange/queue.rs
@@ -4,22 +4,24 @@
 
 impl Exchange<'_> {
     pub(super) fn queue_preamble(&mut self) {
-        let sql = match &self.link.target {
-            LinkTarget::Vm { .. } => trunk_preamble(self.session),
-            LinkTarget::Member { .. } if self.link.parameters != self.session.parameters => {
+        let sql = match &self.connection.target {
+            ConnectionTarget::Vm { .. } => peer_preamble(self.session),
+            ConnectionTarget::Member { .. }
+                if self.connection.parameters != self.session.parameters =>
+            {
                 parameters_preamble(self.session)
             }
-            LinkTarget::Member { .. } => return,
+            ConnectionTarget::Member { .. } => return,
         };
-        message::put_query(self.link.wire.output(), &sql);
-        self.link.parameters = self.session.parameters.clone();
+        message::put_query(self.connection.wire.output(), &sql);
+        self.connection.parameters = self.session.parameters.clone();
         self.stage = Stage::Preamble;
     }
 
     pub(super) fn queue(&mut self, request: &Request) -> Result<()> {
         if request.ending == Ending::Query {
             for frame in &request.frames {
-                self.link.wire.push(&frame.bytes);
+                self.connection.wire.push(&frame.bytes);
             }
             return Ok(());
         }
@@ -32,9 +34,9 @@
                 from_caller::CLOSE => self.queue_close(frame)?,
                 from_caller::EXECUTE => {
                     self.owed.push(Owed::Execute);
-                    self.link.wire.push(&frame.bytes);
+                    self.connection.wire.push(&frame.bytes);
                 }
-                _ => self.link.wire.push(&frame.bytes),
+                _ => self.connection.wire.push(&frame.bytes),
             }
         }
         Ok(())
@@ -45,17 +47,17 @@
         let parse: pgwire::messages::extendedquery::Parse = message::read(frame)?;
         let name = parse.name.unwrap_or_default();
         if name.is_empty() {
-            self.link.unnamed = self.session.unnamed.as_ref().map(|p| p.key.clone());
+            self.connection.unnamed = self.session.unnamed.as_ref().map(|p| p.key.clone());
             self.owed.push(Owed::Parse {
                 key: None,
                 is_callers: true,
             });
-            self.link.wire.push(&frame.bytes);
+            self.connection.wire.push(&frame.bytes);
             return Ok(true);
         }
         let class = crate::proxy::class_cache::class_of(&parse.query);
         let prepared = Prepared::new(&parse.query, &parse.type_oids, class);
-        if self.link.prepared.contains(&prepared.key) {
+        if self.connection.prepared.contains(&prepared.key) {
             self.owed.push(Owed::OwnParse);
             return Ok(false);
         }
@@ -64,7 +66,7 @@
     }
 
     pub(super) fn put_parse(&mut self, prepared: &Prepared, is_callers: bool) {
-        let output = self.link.wire.output();
+        let output = self.connection.wire.output();
         message::put_parse(output, &prepared.key, &prepared.sql, &prepared.type_oids);
         self.owed.push(Owed::Parse {
             key: Some(prepared.key.clone()),
@@ -76,22 +78,22 @@
     pub(super) fn ensure(&mut self, name: &str, parsed_unnamed: bool) -> Option<String> {
         if !name.is_empty() {
             let prepared = self.session.statements.get(name).cloned()?;
-            if !self.link.prepared.contains(&prepared.key) {
+            if !self.connection.prepared.contains(&prepared.key) {
                 self.put_parse(&prepared, false);
                 // Later messages of this request may rely on it.
-                self.link.prepared.insert(prepared.key.clone());
+                self.connection.prepared.insert(prepared.key.clone());
             }
             return Some(prepared.key.to_string());
         }
         let prepared = self.session.unnamed.clone()?;
-        if !parsed_unnamed && self.link.unnamed.as_ref() != Some(&prepared.key) {
-            let output = self.link.wire.output();
+        if !parsed_unnamed && self.connection.unnamed.as_ref() != Some(&prepared.key) {
+            let output = self.connection.wire.output();
             message::put_parse(output, "", &prepared.sql, &prepared.type_oids);
             self.owed.push(Owed::Parse {
                 key: None,
                 is_callers: false,
             });
-            self.link.unnamed = Some(prepared.key);
+            self.connection.unnamed = Some(prepared.key);
         }
         Some(String::new())
     }
@@ -102,11 +104,11 @@
         let key = self.ensure(&name, parsed_unnamed);
         self.owed.push(Owed::Bind);
         if name.is_empty() {
-            self.link.wire.push(&frame.bytes);
+            self.connection.wire.push(&frame.bytes);
             return Ok(());
         }
         bind.statement_name = key;
-        Ok(bind.encode(self.link.wire.output())?)
+        Ok(bind.encode(self.connection.wire.output())?)
     }
 
     pub(super) fn queue_describe(&mut self, frame: &Frame, parsed_unnamed: bool) -> Result<()> {
@@ -116,10 +118,10 @@
         match key.filter(|key| !key.is_empty()) {
             Some(key) => {
                 let describe = Describe::new(request::STATEMENT, Some(key));
-                Ok(describe.encode(self.link.wire.output())?)
+                Ok(describe.encode(self.connection.wire.output())?)
             }
             None => {
-                self.link.wire.push(&frame.bytes);
+                self.connection.wire.push(&frame.bytes);
                 Ok(())
             }
         }
@@ -133,20 +135,20 @@
             }
             None => {
                 self.owed.push(Owed::Close);
-                self.link.wire.push(&frame.bytes);
+                self.connection.wire.push(&frame.bytes);
             }
         }
         Ok(())
     }
 
     pub(super) async fn send(&mut self) -> Result<()> {
-        if self.link.wire.output().len() <= WRITE_BESIDE_BYTES {
-            return self.link.wire.flush().await;
+        if self.connection.wire.output().len() <= WRITE_BESIDE_BYTES {
+            return self.connection.wire.flush().await;
         }
         // The endpoint may answer before it has read all; writing beside
         // reading keeps both from waiting for each other.
-        let bytes = std::mem::take(self.link.wire.output());
-        let mut stream = self.link.wire.stream().clone();
+        let bytes = std::mem::take(self.connection.wire.output());
+        let mut stream = self.connection.wire.stream().clone();
         compio::runtime::spawn(async move {
             // The reader notices a broken connection.
             let _ = stream.write_all(bytes).await;
--- a/src/proxy/listener.rs
+++ b/src/proxy/listener.rs
@@ -5,7 +5,7 @@
 use compio::net::TcpListener;
 
 use super::{
-    caller::{Entry, serve},
+    caller::{ListenerKind, serve},
     context::Context,
 };
 use crate::prelude::*;
@@ -14,7 +14,12 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// Accepts callers until the VM stops. `count` holds the callers served now.
-pub async fn accept(context: Context, listener: TcpListener, entry: Entry, count: Rc<Cell<usize>>) {
+pub async fn accept(
+    context: Context,
+    listener: TcpListener,
+    entry: ListenerKind,
+    count: Rc<Cell<usize>>,
+) {
     let mut draining = context.draining.clone();
     loop {
         let accepted = {
--- a/src/proxy/trunk.rs
+++ b/src/proxy/peer_pool.rs
@@ -5,9 +5,9 @@
 use futures::channel::oneshot;
 
 use super::{
-    connect::{Target, connect},
+    connect::{ConnectOptions, connect},
+    connection::{Connection, ConnectionTarget, Permit},
     error::Refusal,
-    link::{Link, LinkTarget, Permit},
 };
 use crate::prelude::*;
 
@@ -19,37 +19,37 @@
 /// Key of a group of connections: service and VM.
 type Key = (Name, Name);
 
-enum TrunkMessage {
+enum PeerPoolMessage {
     Acquire {
         service: Name,
         vm: Name,
         address: SocketAddr,
-        reply: oneshot::Sender<Result<Link, Refusal>>,
+        reply: oneshot::Sender<Result<Connection, Refusal>>,
     },
     Release {
         service: Name,
-        link: Link,
+        connection: Connection,
     },
     Closed(Key),
 }
 
 #[derive(Default)]
 struct Group {
-    idle: Vec<Link>,
+    idle: Vec<Connection>,
     open: usize,
 }
 
 /// Handle to the task that keeps the connections.
 #[derive(Clone)]
-pub struct TrunkHandle {
-    sender: flume::Sender<TrunkMessage>,
+pub struct PeerPool {
+    sender: flume::Sender<PeerPoolMessage>,
 }
 
-impl TrunkHandle {
+impl PeerPool {
     /// Starts the task.
-    pub fn start() -> TrunkHandle {
+    pub fn start() -> PeerPool {
         let (sender, mailbox) = flume::unbounded();
-        let handle = TrunkHandle { sender };
+        let handle = PeerPool { sender };
         compio::runtime::spawn(run(handle.clone(), mailbox)).detach();
         handle
     }
@@ -64,9 +64,9 @@
         service: &Name,
         vm: &Name,
         address: SocketAddr,
-    ) -> Result<Link, Refusal> {
+    ) -> Result<Connection, Refusal> {
         let (reply, answer) = oneshot::channel();
-        let message = TrunkMessage::Acquire {
+        let message = PeerPoolMessage::Acquire {
             service: service.clone(),
             vm: vm.clone(),
             address,
@@ -78,20 +78,20 @@
     }
 
     /// Gives a connection back in a clean state.
-    pub fn release(&self, service: &Name, link: Link) {
+    pub fn release(&self, service: &Name, connection: Connection) {
         // A stopped task drops the connection.
-        let _ = self.sender.send(TrunkMessage::Release {
+        let _ = self.sender.send(PeerPoolMessage::Release {
             service: service.clone(),
-            link,
+            connection,
         });
     }
 }
 
-async fn run(handle: TrunkHandle, mailbox: flume::Receiver<TrunkMessage>) {
+async fn run(handle: PeerPool, mailbox: flume::Receiver<PeerPoolMessage>) {
     let mut groups: BTreeMap<Key, Group> = BTreeMap::new();
     while let Ok(message) = mailbox.recv_async().await {
         match message {
-            TrunkMessage::Acquire {
+            PeerPoolMessage::Acquire {
                 service,
                 vm,
                 address,
@@ -101,16 +101,19 @@
                 let group = groups.entry(key.clone()).or_default();
                 acquire(&handle, group, key, address, reply);
             }
-            TrunkMessage::Release { service, link } => {
-                let LinkTarget::Vm { vm } = &link.target else {
+            PeerPoolMessage::Release {
+                service,
+                connection,
+            } => {
+                let ConnectionTarget::Vm { vm } = &connection.target else {
                     continue;
                 };
                 let group = groups.entry((service, vm.clone())).or_default();
-                if group.idle.len() < IDLE_MAX && !link.is_worn() {
-                    group.idle.push(link);
+                if group.idle.len() < IDLE_MAX && !connection.is_worn() {
+                    group.idle.push(connection);
                 }
             }
-            TrunkMessage::Closed(key) => {
+            PeerPoolMessage::Closed(key) => {
                 if let Some(group) = groups.get_mut(&key) {
                     group.open = group.open.saturating_sub(1);
                 }
@@ -121,16 +124,16 @@
 }
 
 fn acquire(
-    handle: &TrunkHandle,
+    handle: &PeerPool,
     group: &mut Group,
     key: Key,
     address: SocketAddr,
-    reply: oneshot::Sender<Result<Link, Refusal>>,
+    reply: oneshot::Sender<Result<Connection, Refusal>>,
 ) {
-    while let Some(link) = group.idle.pop() {
-        if link.address == address && link.is_reusable() {
+    while let Some(connection) = group.idle.pop() {
+        if connection.address == address && connection.is_reusable() {
             // The caller may have gone away.
-            let _ = reply.send(Ok(link));
+            let _ = reply.send(Ok(connection));
             return;
         }
     }
@@ -143,19 +146,19 @@
     let (service, vm) = key.clone();
     let sender = handle.sender.clone();
     let permit = Permit::new(move || {
-        let _ = sender.send(TrunkMessage::Closed(key));
+        let _ = sender.send(PeerPoolMessage::Closed(key));
     });
-    let target = Target {
+    let options = ConnectOptions {
         address,
         user: "foxtailknot".into(),
         database: service,
-        link_target: LinkTarget::Vm { vm: vm.clone() },
+        target: ConnectionTarget::Vm { vm: vm.clone() },
     };
     compio::runtime::spawn(async move {
-        let link = connect(target, Some(permit)).await.map_err(|error| {
+        let connection = connect(options, Some(permit)).await.map_err(|error| {
             Refusal::new(Code::NoSlot, format!("VM {vm} can't be reached: {error}"))
         });
-        let _ = reply.send(link);
+        let _ = reply.send(connection);
     })
     .detach();
 }
--- a/src/proxy/slot/handle.rs
+++ b/src/proxy/slot/handle.rs
@@ -6,7 +6,7 @@
 use crate::{
     decide::acknowledge::{Commit, Decision},
     prelude::*,
-    proxy::{error::Refusal, link::Link},
+    proxy::{connection::Connection, error::Refusal},
 };
 
 /// Handle to a slot's task; clones reach the same task.
@@ -45,9 +45,9 @@
     }
 
     /// Gives a connection back.
-    pub fn release(&self, link: Link, is_clean: bool, held_us: u64) {
+    pub fn release(&self, connection: Connection, is_clean: bool, held_us: u64) {
         self.send(SlotMessage::Release {
-            link,
+            connection,
             is_clean,
             held_us,
         });
--- a/src/proxy/slot/member.rs
+++ b/src/proxy/slot/member.rs
@@ -4,7 +4,7 @@
 use crate::{
     decide::{admission::AdmissionQueue, member::MemberView},
     prelude::*,
-    proxy::{connect::Target, link::Link},
+    proxy::{connect::ConnectOptions, connection::Connection},
 };
 
 /// A request whose member is chosen and that waits for a connection to it.
@@ -24,11 +24,11 @@
     /// Name.
     pub name: Name,
     /// How to connect.
-    pub target: Target,
+    pub connect_options: ConnectOptions,
     /// What is known of it.
     pub view: MemberView,
     /// Connections that nobody uses.
-    pub idle: Vec<Link>,
+    pub idle: Vec<Connection>,
     /// Connections that are open or being opened.
     pub open: usize,
     /// Connections that are being opened.
@@ -49,10 +49,10 @@
 
 impl SlotMember {
     /// Takes an idle connection that still works.
-    pub fn pop_idle(&mut self) -> Option<Link> {
-        while let Some(link) = self.idle.pop() {
-            if link.is_reusable() {
-                return Some(link);
+    pub fn pop_idle(&mut self) -> Option<Connection> {
+        while let Some(connection) = self.idle.pop() {
+            if connection.is_reusable() {
+                return Some(connection);
             }
         }
         None
--- a/src/proxy/slot/message.rs
+++ b/src/proxy/slot/message.rs
@@ -9,7 +9,7 @@
         route::Floor,
     },
     prelude::*,
-    proxy::{error::Refusal, error::Result, link::Link},
+    proxy::{connection::Connection, error::Refusal, error::Result},
     settings::ServiceSettings,
 };
 
@@ -45,7 +45,7 @@
 /// A connection that was granted.
 pub struct Granted {
     /// The connection.
-    pub link: Link,
+    pub connection: Connection,
     /// Position that the reads on it are known to see.
     pub floor: Option<Position>,
     /// Whether the member is the primary.
@@ -70,7 +70,7 @@
     /// Take a connection back.
     Release {
         /// The connection.
-        link: Link,
+        connection: Connection,
         /// Whether it is in a clean state.
         is_clean: bool,
         /// Time it was held, in microseconds.
@@ -86,7 +86,7 @@
         /// Index of the member.
         member: usize,
         /// The connection.
-        result: Result<Link>,
+        result: Result<Connection>,
     },
     /// A member reported, or did not.
     Observed {
--- a/src/proxy/slot/task.rs
+++ b/src/proxy/slot/task.rs
@@ -25,10 +25,10 @@
     metrics::{Metrics, label, name_label},
     prelude::*,
     proxy::{
-        connect::{Target, connect},
+        connect::{ConnectOptions, connect},
+        connection::{Connection, ConnectionTarget, Permit},
         error::Refusal,
-        link::{Link, LinkTarget, Permit},
-        watch::watch,
+        status_query::poll,
     },
     settings::ServiceSettings,
 };
@@ -150,11 +150,11 @@
             .into_iter()
             .enumerate()
             .map(|(index, (name, member))| {
-                let target = Target {
+                let connect_options = ConnectOptions {
                     address: member.address,
                     user: settings.user.clone(),
                     database: settings.database.clone(),
-                    link_target: LinkTarget::Member {
+                    target: ConnectionTarget::Member {
                         member: index,
                         term: 0,
                     },
@@ -167,8 +167,8 @@
                 };
                 SlotMember {
                     name,
-                    ask: self.start_watch(index, target.clone()),
-                    target,
+                    ask: self.start_watch(index, connect_options.clone()),
+                    connect_options,
                     view,
                     idle: Vec::new(),
                     open: 0,
@@ -183,7 +183,7 @@
             .collect();
     }
 
-    fn start_watch(&self, member: usize, target: Target) -> flume::Sender<()> {
+    fn start_watch(&self, member: usize, options: ConnectOptions) -> flume::Sender<()> {
         let (ask, asks) = flume::unbounded();
         let handle = self.handle.clone();
         let tell = move |asked_ms, observation| {
@@ -193,7 +193,7 @@
                 observation,
             });
         };
-        compio::runtime::spawn(watch(target, asks, tell)).detach();
+        compio::runtime::spawn(poll(options, asks, tell)).detach();
         ask
     }
 
@@ -201,10 +201,10 @@
         match message {
             SlotMessage::Acquire(acquire) => self.acquire(acquire),
             SlotMessage::Release {
-                link,
+                connection,
                 is_clean,
                 held_us,
-            } => self.release(link, is_clean, held_us),
+            } => self.release(connection, is_clean, held_us),
             SlotMessage::Closed { member } => self.closed(member),
             SlotMessage::Opened { member, result } => self.opened(member, result),
             SlotMessage::Observed {
--- a/src/proxy/slot/task/connections.rs
+++ b/src/proxy/slot/task/connections.rs
@@ -3,8 +3,8 @@
 use super::*;
 
 impl Slot {
-    pub(super) fn release(&mut self, link: Link, is_clean: bool, held_us: u64) {
-        let LinkTarget::Member { member, .. } = link.target else {
+    pub(super) fn release(&mut self, connection: Connection, is_clean: bool, held_us: u64) {
+        let ConnectionTarget::Member { member, .. } = connection.target else {
             return;
         };
         self.members[member].ready.record(held_us);
@@ -12,13 +12,13 @@
             self.writes.record(held_us);
         }
         self.members[member].view.in_use = self.members[member].view.in_use.saturating_sub(1);
-        let is_known = link.address == self.members[member].target.address;
+        let is_known = connection.address == self.members[member].connect_options.address;
         let over = self.members[member].open > self.capacity;
         if is_clean {
             self.members[member].served_ms = clock::now_ms();
         }
-        if is_clean && is_known && !over && !link.is_worn() {
-            self.members[member].idle.push(link);
+        if is_clean && is_known && !over && !connection.is_worn() {
+            self.members[member].idle.push(connection);
         }
     }
 
@@ -27,11 +27,11 @@
         member.open = member.open.saturating_sub(1);
     }
 
-    pub(super) fn opened(&mut self, index: usize, result: crate::proxy::error::Result<Link>) {
+    pub(super) fn opened(&mut self, index: usize, result: crate::proxy::error::Result<Connection>) {
         let member = &mut self.members[index];
         member.opening = member.opening.saturating_sub(1);
         match result {
-            Ok(link) => member.idle.push(link),
+            Ok(connection) => member.idle.push(connection),
             Err(error) => {
                 log::warn!(
                     target: "slot", service = &*self.context.service, member = &*member.name;
@@ -62,13 +62,13 @@
             if self.members[index].ready.is_empty() && !wants_write {
                 return;
             }
-            let Some(link) = self.members[index].pop_idle() else {
+            let Some(connection) = self.members[index].pop_idle() else {
                 break;
             };
             if wants_write && let Some(acquire) = self.writes.pop() {
-                self.grant_write(index, link, acquire);
+                self.grant_write(index, connection, acquire);
             } else if let Some(ready) = self.members[index].ready.pop() {
-                self.grant_read(index, link, ready, is_primary, now_ms);
+                self.grant_read(index, connection, ready, is_primary, now_ms);
             }
         }
         let mut wanted = self.members[index].ready.len();
@@ -87,7 +87,7 @@
         now_ms <= answered_ms.max(member.served_ms) + VERIFIED_MS
     }
 
-    pub(super) fn grant_write(&mut self, index: usize, link: Link, acquire: Acquire) {
+    pub(super) fn grant_write(&mut self, index: usize, connection: Connection, acquire: Acquire) {
         let floor = match acquire.want {
             Want::Begin {
                 floor: Floor::Known(position),
@@ -98,13 +98,13 @@
             "route", service = &*self.context.service, member = &*self.members[index].name,
             reason = "write"; "granted"
         );
-        self.grant(index, link, acquire, floor, true);
+        self.grant(index, connection, acquire, floor, true);
     }
 
     pub(super) fn grant_read(
         &mut self,
         index: usize,
-        link: Link,
+        connection: Connection,
         ready: Ready,
         is_primary: bool,
         now_ms: u64,
@@ -125,13 +125,13 @@
             .metrics
             .queue_wait_ms
             .record(waited_ms as f64, &[]);
-        self.grant(index, link, ready.acquire, ready.floor, is_primary);
+        self.grant(index, connection, ready.acquire, ready.floor, is_primary);
     }
 
     pub(super) fn grant(
         &mut self,
         index: usize,
-        mut link: Link,
+        mut connection: Connection,
         acquire: Acquire,
         floor: Option<Position>,
         is_primary: bool,
@@ -140,20 +140,20 @@
             .view
             .observation
             .map_or(0, |o| o.status.term);
-        link.target = LinkTarget::Member {
+        connection.target = ConnectionTarget::Member {
             member: index,
             term,
         };
         self.members[index].view.in_use += 1;
         let granted = Granted {
-            link,
+            connection,
             floor,
             is_primary,
         };
         if let Err(Ok(granted)) = acquire.reply.send(Ok(granted)) {
             // The caller went away while it waited.
             self.members[index].view.in_use -= 1;
-            self.members[index].idle.push(granted.link);
+            self.members[index].idle.push(granted.connection);
         }
     }
 
@@ -166,12 +166,12 @@
         while member.opening < wanted && member.open < capacity {
             member.open += 1;
             member.opening += 1;
-            let target = member.target.clone();
+            let options = member.connect_options.clone();
             let handle = self.handle.clone();
             let give_back = self.handle.clone();
             let permit = Permit::new(move || give_back.send(SlotMessage::Closed { member: index }));
             compio::runtime::spawn(async move {
-                let result = connect(target, Some(permit)).await;
+                let result = connect(options, Some(permit)).await;
                 handle.send(SlotMessage::Opened {
                     member: index,
                     result,
--- a/src/proxy/watch.rs
+++ b/src/proxy/status_query.rs
@@ -1,10 +1,10 @@
 //! Asks one member for its report, on a connection of its own.
 
 use super::{
-    connect::{Target, connect},
+    connect::{ConnectOptions, connect},
+    connection::Connection,
     error::{ProxyError, Result},
     frame::from_endpoint as tag,
-    link::Link,
     message,
 };
 use crate::{
@@ -21,16 +21,16 @@
 /// Answers each question that comes through `asks`; several at once get one answer.
 ///
 /// `tell` gets the observation, or `None` when the member did not answer.
-pub async fn watch(
-    target: Target,
+pub async fn poll(
+    options: ConnectOptions,
     asks: flume::Receiver<()>,
     tell: impl Fn(u64, Option<Observation>),
 ) {
-    let mut link = None;
+    let mut connection = None;
     while asks.recv_async().await.is_ok() {
         asks.drain();
         let asked_ms = clock::now_ms();
-        let status = compio::time::timeout(STATUS_TIMEOUT, ask(&mut link, &target)).await;
+        let status = compio::time::timeout(STATUS_TIMEOUT, ask(&mut connection, &options)).await;
         let answered_ms = clock::now_ms();
         let observation = match status {
             Ok(Ok(status)) => Some(Observation {
@@ -39,7 +39,7 @@
                 answered_ms,
             }),
             _ => {
-                link = None;
+                connection = None;
                 None
             }
         };
@@ -47,15 +47,18 @@
     }
 }
 
-async fn ask(link: &mut Option<Link>, target: &Target) -> Result<MemberStatus> {
-    if link.as_ref().is_some_and(|l| l.wire.is_stale()) {
-        *link = None;
+async fn ask(
+    connection: &mut Option<Connection>,
+    options: &ConnectOptions,
+) -> Result<MemberStatus> {
+    if connection.as_ref().is_some_and(|c| c.wire.is_stale()) {
+        *connection = None;
     }
-    if link.is_none() {
-        *link = Some(connect(target.clone(), None).await?);
+    if connection.is_none() {
+        *connection = Some(connect(options.clone(), None).await?);
     }
-    let link = link.as_mut().ok_or(ProxyError::Closed)?;
-    call(link, STATUS_SQL).await
+    let connection = connection.as_mut().ok_or(ProxyError::Closed)?;
+    query_status(connection, STATUS_SQL).await
 }
 
 /// Term of the entry that the member holds at a position.
@@ -63,9 +66,9 @@
 /// # Errors
 ///
 /// Returns an error when the connection broke or the member refused.
-pub async fn term_at(link: &mut Link, lsn: Lsn) -> Result<Option<u64>> {
+pub async fn term_at(connection: &mut Connection, lsn: Lsn) -> Result<Option<u64>> {
     let sql = format!("SELECT dbgroup_term_at('{lsn}')");
-    let values = query(link, &sql).await?;
+    let values = query(connection, &sql).await?;
     let first = values.into_iter().next().flatten();
     Ok(first.and_then(|term| term.parse().ok()))
 }
@@ -75,17 +78,17 @@
 /// # Errors
 ///
 /// Returns an error when the connection broke or the member refused.
-pub async fn call(link: &mut Link, sql: &str) -> Result<MemberStatus> {
-    parse(&query(link, sql).await?)
+pub async fn query_status(connection: &mut Connection, sql: &str) -> Result<MemberStatus> {
+    parse(&query(connection, sql).await?)
 }
 
 /// Runs a query of one row.
-async fn query(link: &mut Link, sql: &str) -> Result<Vec<Option<String>>> {
-    message::put_query(link.wire.output(), sql);
-    link.wire.flush().await?;
+async fn query(connection: &mut Connection, sql: &str) -> Result<Vec<Option<String>>> {
+    message::put_query(connection.wire.output(), sql);
+    connection.wire.flush().await?;
     let mut values = Err(ProxyError::protocol("no row"));
     loop {
-        let frame = link.wire.next_frame().await?;
+        let frame = connection.wire.next_frame().await?;
         match frame.tag() {
             tag::ROW => values = Ok(message::row_values(&frame)),
             tag::ERROR => {
--- a/src/proxy/wire.rs
+++ b/src/proxy/wire.rs
@@ -35,7 +35,7 @@
 }
 
 /// Whether a socket is open and nothing waits to be read.
-pub fn is_quiet(stream: &TcpStream) -> bool {
+pub fn is_open_and_idle(stream: &TcpStream) -> bool {
     let mut byte = [std::mem::MaybeUninit::uninit()];
     match socket2::SockRef::from(stream).peek(&mut byte) {
         Err(error) => error.kind() == std::io::ErrorKind::WouldBlock,
@@ -74,7 +74,7 @@
     /// Whether the other side has closed the connection or sent anything
     /// that nobody asked for.
     pub fn is_stale(&self) -> bool {
-        !is_quiet(&self.stream) || !self.input.is_empty()
+        !is_open_and_idle(&self.stream) || !self.input.is_empty()
     }
 
     /// Reads more bytes.
--- a/src/relay/link.rs
+++ b/src/relay/link.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 
 use super::socket::Socket;
-use crate::{decide::holders::Way, prelude::*, proxy::link::Permit};
+use crate::{decide::holders::Way, prelude::*, proxy::connection::Permit};
 
 /// Values of a session, by name.
 pub type Values = BTreeMap<Bytes, Bytes>;
--- a/src/relay/open.rs
+++ b/src/relay/open.rs
@@ -9,7 +9,7 @@
     MemberCodec, MemberRequest, RelayError, Result, exchange::read_answer, link::Link,
     socket::Socket,
 };
-use crate::{decide::holders::Way, prelude::*, proxy::link::Permit};
+use crate::{decide::holders::Way, prelude::*, proxy::connection::Permit};
 
 /// Longest time to open a connection: three trips to another region and back,
 /// the member's work and a full queue there.
--- a/src/relay/service.rs
+++ b/src/relay/service.rs
@@ -31,7 +31,7 @@
     decision_log::decision,
     metrics::{Metrics, label, name_label},
     prelude::*,
-    proxy::link::Permit,
+    proxy::connection::Permit,
 };
 
 /// Longest time between two looks at the timers while nothing waits.
--- a/src/relay/socket.rs
+++ b/src/relay/socket.rs
@@ -8,7 +8,7 @@
 };
 
 use super::{RelayError, Result};
-use crate::proxy::wire::is_quiet;
+use crate::proxy::wire::is_open_and_idle;
 
 /// Bytes reserved before a read: most requests and answers fit.
 const READ_BYTES: usize = 2 << 10;
@@ -67,7 +67,7 @@
 
     /// Whether the other side closed the connection or sent what nobody asked for.
     pub fn is_stale(&self) -> bool {
-        !is_quiet(&self.stream) || !self.input.is_empty()
+        !is_open_and_idle(&self.stream) || !self.input.is_empty()
     }
 }
 
--- a/src/relay/takeover.rs
+++ b/src/relay/takeover.rs
@@ -19,7 +19,7 @@
     decision_log::decision,
     metrics::{label, name_label},
     prelude::*,
-    proxy::link::Permit,
+    proxy::connection::Permit,
 };
 
 /// Longest time from the claim to the order to promote, in milliseconds; less
--- a/tests/exchange.rs
+++ b/tests/exchange.rs
@@ -12,10 +12,10 @@
     decide::classify::Class,
     prelude::Code,
     proxy::{
+        connection::{Connection, ConnectionTarget},
         error::{ProxyError, Refusal},
-        exchange::{Broken, Exchange},
+        exchange::{Exchange, ExchangeError},
         frame::Frame,
-        link::{Link, LinkTarget},
         message,
         request::{Ending, Request},
         session::Session,
@@ -64,10 +64,10 @@
     }
 }
 
-async fn link_to(address: SocketAddr) -> Link {
-    Link {
+async fn connect_to(address: SocketAddr) -> Connection {
+    Connection {
         wire: Wire::new(TcpStream::connect(address).await.unwrap(), 1 << 20),
-        target: LinkTarget::Vm { vm: "vm-1".into() },
+        target: ConnectionTarget::Vm { vm: "vm-1".into() },
         address,
         prepared: Default::default(),
         unnamed: None,
@@ -90,13 +90,16 @@
 fn write_that_meets_a_stop_was_not_run(before: Before) {
     let address = start_holder(before);
     compio::runtime::Runtime::new().unwrap().block_on(async {
-        let mut link = link_to(address).await;
+        let mut connection = connect_to(address).await;
         let mut caller = caller_wire().await;
         let mut session = Session::new("ledger".into());
-        let exchange = Exchange::new(&mut link, &mut caller, &mut session);
+        let exchange = Exchange::new(&mut connection, &mut caller, &mut session);
         let outcome = exchange.run(&write_request(), false, async || false).await;
         let error = outcome.expect_err("the holder ran nothing");
-        let is_not_run = matches!(error, Broken::Link(ProxyError::NotRun { .. }, false));
+        let is_not_run = matches!(
+            error,
+            ExchangeError::Connection(ProxyError::NotRun { .. }, false)
+        );
         assert!(is_not_run, "{error:?}");
     });
 }
