--- a/src/relay/open.rs
+++ b/src/relay/open.rs
@@ -9,7 +9,7 @@
     MemberCodec, MemberRequest, RelayError, Result, connection::Connection, exchange::read_answer,
     socket::Socket,
 };
-use crate::{decide::holders::MemberPath, prelude::*, proxy::link::Permit};
+use crate::{decide::holders::MemberPath, prelude::*, proxy::connection::Permit};
 
 /// Longest time to open a connection: three trips to another region and back,
 /// the member's work and a full queue there.
