--- a/src/relay/answer.rs
+++ b/src/relay/answer.rs
@@ -1,4 +1,4 @@
-//! What members answer.
+//! Answers and reports of members.
 
 use bytes::Bytes;
 
@@ -12,81 +12,81 @@
     Idle,
     /// A transaction is open.
     Transaction,
-    /// The transaction failed and waits for its end.
+    /// The transaction failed and must be ended by the caller.
     Failed,
 }
 
-/// Class of an error.
+/// Class of an error. "Not run" means that the statement is safe to retry.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, strum::Display, strum::IntoStaticStr,
 )]
 #[strum(serialize_all = "snake_case")]
 pub enum ErrorClass {
-    /// Too much to do; not run.
+    /// Overloaded; not run.
     Busy,
-    /// Rolled back; nothing is kept.
+    /// The transaction was rolled back and left no effect.
     Aborted,
-    /// The log lacks the position that was asked for; not run.
+    /// The member's log has not reached the requested position; not run.
     Lagging,
-    /// The member does not lead; not run.
+    /// The member is not the primary; not run.
     ReadOnly,
-    /// Another member or service stands at the address; not run.
+    /// The address belongs to another member or service; not run.
     WrongMember,
     /// The member has too many connections; not run.
     ConnectionLimit,
-    /// The prepared statement is not known; not run.
+    /// Unknown prepared statement; not run.
     NoStatement,
-    /// It was run and failed.
+    /// The statement was run and failed.
     Failed,
-    /// It was run and took too long.
+    /// The statement was run and took too long.
     Timeout,
-    /// Whether it took effect is not known.
+    /// It is unknown whether the statement took effect.
     InDoubt,
-    /// The database is not known.
+    /// Unknown database.
     NoDatabase,
     /// A message is too large.
     TooBig,
-    /// The message does not follow the protocol, or not the session's state.
+    /// The message is invalid, or not allowed in the session's state.
     Malformed,
     /// Anything else.
     Other,
 }
 
-/// A whole answer of a member.
+/// A complete answer of a member.
 #[derive(Clone, Debug)]
 pub struct Answer {
-    /// Rows and their end, as the member sent them.
+    /// Rows and completion or error, as the member sent them.
     pub body: Bytes,
-    /// Class of the error, if it is one.
+    /// Class of the error, if the statement failed.
     pub error: Option<ErrorClass>,
     /// State of the member's session.
     pub state: SessionState,
-    /// Position of the member's log.
+    /// Position of the member's log, if reported.
     pub position: Option<Position>,
 }
 
-/// A member's report of itself.
+/// A member's report of its own status.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StatusReport {
     /// Role.
     pub role: Role,
-    /// Term it stands by.
+    /// Term that the member is in.
     pub term: u64,
-    /// Last position received.
+    /// Last position that the member has received.
     pub received: Position,
-    /// Term for which it was told to stop receiving; zero for none.
+    /// Term below which it was told to receive nothing; zero for none.
     pub held_term: u64,
-    /// Time that it is behind its primary, in milliseconds.
+    /// Replication lag behind its primary.
     pub lag_ms: u64,
-    /// Requests that it works on.
+    /// Requests that it is processing.
     pub busy: usize,
-    /// Connections that are open to it, from all VMs.
+    /// Open connections to it, from all VMs.
     pub connections: usize,
 }
 
 impl StatusReport {
-    /// Whether it proves that the member leads, where enough of the others
-    /// stand by no term above `others_term`.
+    /// Whether the member leads, given that enough of the other members report
+    /// no term above `others_term`.
     pub fn confirms_leadership(&self, others_term: u64) -> bool {
         self.role == Role::Primary && others_term <= self.term
     }
--- a/src/relay/codec.rs
+++ b/src/relay/codec.rs
@@ -1,4 +1,4 @@
-//! Codecs: how messages are written on a socket.
+//! Codecs and the messages that they encode and decode.
 
 use bytes::{Bytes, BytesMut};
 
@@ -24,41 +24,41 @@
 /// A request to a member.
 #[derive(Clone, Debug)]
 pub enum MemberRequest<'a> {
-    /// Opens a connection to a service, at one member only.
+    /// Opens a connection to a service; any member but the named one refuses it.
     Open {
         /// Name of the service.
         service: &'a str,
-        /// Id that the member must have.
+        /// Expected id of the member.
         member: &'a str,
     },
-    /// A statement of a caller, unchanged.
+    /// Runs a statement of a caller, unchanged.
     CallerStatement {
-        /// Id that the caller gave it.
+        /// Id assigned by the caller.
         id: &'a [u8],
-        /// Position that the member's log must hold.
+        /// Position that the member's log must have reached.
         after: Option<Position>,
-        /// Text.
+        /// Text of the statement.
         text: &'a [u8],
     },
-    /// A prepared statement of a caller, under the name it has on the connection.
+    /// Runs a prepared statement of a caller.
     Execute {
-        /// Id that the caller gave it.
+        /// Id assigned by the caller.
         id: &'a [u8],
-        /// Position that the member's log must hold.
+        /// Position that the member's log must have reached.
         after: Option<Position>,
-        /// Name on the connection.
+        /// Name of the prepared statement on the connection.
         name: &'a str,
         /// Arguments, as the caller sent them.
         arguments: &'a [u8],
     },
     /// Begins a transaction.
     Begin {
-        /// Position that the member's log must hold.
+        /// Position that the member's log must have reached.
         after: Option<Position>,
-        /// Whether it may only read.
+        /// Whether it is read-only.
         is_read_only: bool,
     },
-    /// Rolls a transaction back.
+    /// Rolls the transaction back.
     Rollback,
     /// Sets a value of the session.
     Set {
@@ -69,57 +69,60 @@
     },
     /// Prepares a statement.
     Prepare {
-        /// Name on the connection.
+        /// Name of the prepared statement on the connection.
         name: &'a str,
-        /// Whether it reads or writes, and what.
+        /// The statement.
         prepared_statement: &'a PreparedStatement,
     },
-    /// Forgets values and prepared statements.
+    /// Clears the session's values and prepared statements.
     Reset,
-    /// Asks for a report.
+    /// Requests the member's report.
     Status,
-    /// Tells a replica not to receive anything below a term.
+    /// Tells a replica to receive nothing from a primary of a lower term.
     Hold {
         /// The term.
         term: u64,
     },
-    /// Lets a replica receive again.
+    /// Lets a held replica receive again.
     Resume,
-    /// Makes a primary of a lower term a replica.
+    /// Demotes a primary of a lower term to a replica.
     StepDown {
         /// The term.
         term: u64,
     },
 }
 
-/// How callers are spoken to.
+/// Codec of the protocol with callers.
 #[derive(Clone, Copy)]
 pub struct CallerCodec {
-    /// Takes the next message out of the input; `None` when it is not whole.
+    /// Takes the next message out of the input; `None` while it is incomplete.
+    /// The number is the size limit of a message, in bytes.
     pub decode: fn(&mut BytesMut, usize) -> Result<Option<CallerMessage>>,
-    /// Writes that the session may go on, in this state and at this position.
+    /// Writes that the session is ready for the next statement, with its state
+    /// and position.
     pub ready: fn(&mut BytesMut, SessionState, Option<Position>),
-    /// Writes that a statement is done that no member has run.
+    /// Writes the success of a statement that needed no member.
     pub complete: fn(&mut BytesMut),
-    /// Writes an error. The text says why, and when to come back.
+    /// Writes an error. The text gives the reason and, where it helps, when to
+    /// retry.
     pub error: fn(&mut BytesMut, ErrorClass, &str),
 }
 
-/// How members are spoken to.
+/// Codec of the protocol with members.
 #[derive(Clone, Copy)]
 pub struct MemberCodec {
     /// Writes a request.
     pub encode: fn(&mut BytesMut, &MemberRequest<'_>),
-    /// Takes the next answer out of the input; `None` when it is not whole.
+    /// Takes the next answer out of the input; `None` while it is incomplete.
     pub decode: fn(&mut BytesMut) -> Result<Option<Answer>>,
-    /// Class of the error in the input with which a member refused to open a
-    /// connection before it closed it.
+    /// Class of the error in the remaining input, where a member refused a new
+    /// connection and closed it.
     pub opening_error: fn(&[u8]) -> Option<ErrorClass>,
-    /// Reads a report out of an answer's body.
+    /// Parses a report from the body of an answer.
     pub report: fn(&Bytes) -> Result<StatusReport>,
 }
 
-/// A message of another VM to this one, which stands for a member.
+/// A message of another VM that uses this one to reach a member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ForwardMessage {
     /// Opens a connection to a member.
@@ -138,48 +141,48 @@
     },
     /// Prepares a statement.
     Prepare(PreparedStatement),
-    /// Forgets values and prepared statements.
+    /// Clears the session's values and prepared statements.
     Reset,
-    /// Asks for a report of the member.
+    /// Requests the member's report.
     Status,
     /// Begins a transaction.
     Begin {
-        /// Position that the member's log must hold.
+        /// Position that the member's log must have reached.
         after: Option<Position>,
-        /// Whether it may only read.
+        /// Whether it is read-only.
         is_read_only: bool,
     },
-    /// Rolls a transaction back.
+    /// Rolls the transaction back.
     Rollback,
-    /// Runs a statement of a caller. A prepared one has the name that it was
-    /// prepared under here.
+    /// Runs a statement of a caller. A prepared statement is called by the name
+    /// that it was prepared under on this connection.
     Run {
         /// The statement.
         statement: Statement,
-        /// Position that the member's log must hold.
+        /// Position that the member's log must have reached.
         after: Option<Position>,
     },
     /// Closes the connection.
     Close,
 }
 
-/// How other VMs are spoken to that send statements through this one. Answers
-/// are written as those to callers.
+/// Codec of the protocol with other VMs that forward statements through this
+/// one. Answers are written with the codec for callers.
 #[derive(Clone, Copy)]
 pub struct ForwardCodec {
-    /// Takes the next message out of the input; `None` when it is not whole.
+    /// Takes the next message out of the input; `None` while it is incomplete.
     pub decode: fn(&mut BytesMut) -> Result<Option<ForwardMessage>>,
     /// Writes a report.
     pub report: fn(&mut BytesMut, &StatusReport),
 }
 
-/// All codecs.
+/// The codecs of a relay.
 #[derive(Clone, Copy)]
 pub struct Codecs {
-    /// Towards callers.
+    /// For callers.
     pub caller: CallerCodec,
-    /// Towards members.
+    /// For members.
     pub member: MemberCodec,
-    /// Towards other VMs that send statements through this one.
+    /// For other VMs that forward statements through this one.
     pub forward: ForwardCodec,
 }
--- a/src/relay/error.rs
+++ b/src/relay/error.rs
@@ -1,36 +1,36 @@
 //! Errors of the relay.
 
-/// Why a connection can't be used any longer.
+/// Error after which a connection can't be used any more.
 #[derive(Debug, derive_more::Display, derive_more::Error, derive_more::From)]
 pub enum RelayError {
-    /// The other side closed it.
+    /// The peer closed the connection.
     #[display("the connection was closed")]
     Closed,
-    /// The operating system reports an error.
+    /// An I/O error of the operating system.
     #[display("{_0}")]
     Io(std::io::Error),
-    /// The other side does not follow the protocol.
+    /// The peer sent a message that violates the protocol.
     #[display("the message can't be read: {text}")]
     #[from(ignore)]
     Malformed {
-        /// What is wrong.
+        /// What is wrong with the message.
         text: String,
     },
-    /// A message is larger than allowed.
+    /// A message exceeds the size limit.
     #[display("a message is larger than {max_bytes} bytes")]
     #[from(ignore)]
     TooLarge {
-        /// Largest size allowed.
+        /// Size limit.
         max_bytes: usize,
     },
     /// The member refused the request; it was not run.
     #[display("the member refused: {class}")]
     #[from(ignore)]
     Refused {
-        /// Class of its error.
+        /// Class of the member's error.
         class: super::ErrorClass,
     },
-    /// Nothing came in time.
+    /// No answer arrived in time.
     #[display("no answer in time")]
     Timeout,
 }
@@ -39,7 +39,7 @@
 pub type Result<T> = std::result::Result<T, RelayError>;
 
 impl RelayError {
-    /// An error of a message that can't be read.
+    /// Creates an error for a message that can't be read.
     pub fn malformed(text: impl Into<String>) -> RelayError {
         RelayError::Malformed { text: text.into() }
     }
--- a/src/relay/exchange.rs
+++ b/src/relay/exchange.rs
@@ -1,4 +1,4 @@
-//! Requests and answers on a connection.
+//! Requests and answers on a connection to a member.
 
 use bytes::BytesMut;
 
@@ -9,49 +9,50 @@
 };
 use crate::prelude::*;
 
-/// Writes what gives a connection the session values of a caller and the
-/// prepared statement it is about to run. Returns how many answers that adds.
-pub fn put_session(
+/// Writes the requests that bring a connection to the session values of a caller
+/// and prepare the statement to be run. Returns the number of requests, each of
+/// which is answered.
+pub fn write_session_setup(
     output: &mut BytesMut,
     codec: &MemberCodec,
     link: &mut Connection,
     values: &SessionVariables,
     prepared_statement: Option<&PreparedStatement>,
 ) -> usize {
-    let mut answers = 0;
-    let mut put = |request: &MemberRequest<'_>| {
+    let mut requests = 0;
+    let mut write = |request: &MemberRequest<'_>| {
         (codec.encode)(output, request);
-        answers += 1;
+        requests += 1;
     };
     if link.needs_reset(values) {
-        put(&MemberRequest::Reset);
+        write(&MemberRequest::Reset);
         link.variables.clear();
         link.prepared.clear();
     }
     for (name, value) in values {
         if link.variables.get(name) != Some(value) {
-            put(&MemberRequest::Set { name, value });
+            write(&MemberRequest::Set { name, value });
             link.variables.insert(name.clone(), value.clone());
         }
     }
     if let Some(prepared_statement) = prepared_statement
         && link.prepared.insert(prepared_statement.name.clone())
     {
-        put(&MemberRequest::Prepare {
+        write(&MemberRequest::Prepare {
             name: &prepared_statement.name,
             prepared_statement,
         });
     }
-    answers
+    requests
 }
 
-/// Reads answers that must not be errors.
+/// Reads the answers to session setup requests, which must not be errors.
 ///
 /// # Errors
 ///
-/// Returns an error when the connection breaks or one of them is an error: the
-/// connection's session is then not known.
-pub async fn skip_answers(link: &mut Connection, codec: &MemberCodec, count: usize) -> Result<()> {
+/// Returns an error when the connection fails or an answer is an error. The state
+/// of the member's session is then unknown.
+pub async fn expect_success(link: &mut Connection, codec: &MemberCodec, count: usize) -> Result<()> {
     for _ in 0..count {
         let answer = read_answer(link, codec).await?;
         if let Some(class) = answer.error {
@@ -65,7 +66,7 @@
 ///
 /// # Errors
 ///
-/// Returns an error when the connection breaks.
+/// Returns an error when the connection fails.
 pub async fn read_answer(link: &mut Connection, codec: &MemberCodec) -> Result<Answer> {
     loop {
         if let Some(answer) = (codec.decode)(&mut link.socket.input)? {
@@ -79,7 +80,7 @@
 ///
 /// # Errors
 ///
-/// Returns an error when the connection breaks.
+/// Returns an error when the connection fails.
 pub async fn request(
     link: &mut Connection,
     codec: &MemberCodec,
@@ -91,39 +92,41 @@
     read_answer(link, codec).await
 }
 
-/// Sends a request that is answered by a report.
+/// Sends a request that the member answers with a report.
 ///
 /// # Errors
 ///
-/// Returns an error when the connection breaks or the member refuses.
+/// Returns an error when the connection fails or the member refuses.
 pub async fn request_report(
     link: &mut Connection,
     codec: &MemberCodec,
-    order: &MemberRequest<'_>,
+    report_request: &MemberRequest<'_>,
 ) -> Result<StatusReport> {
-    let answer = request(link, codec, order).await?;
+    let answer = request(link, codec, report_request).await?;
     if let Some(class) = answer.error {
         return Err(RelayError::Refused { class });
     }
     (codec.report)(&answer.body)
 }
 
-/// A statement on its way to a member.
+/// A statement to be run on a member.
 pub struct Call<'a> {
     pub statement: &'a Statement,
     pub prepared_statement: Option<&'a PreparedStatement>,
+    /// Position that the member's log must have reached.
     pub after: Option<Position>,
-    /// Whether the member is asked for a report right after it.
+    /// Whether to request a report right after the statement.
     pub wants_report: bool,
 }
 
-/// What an attempt brought.
+/// A member's answers to a call.
 pub struct Outcome {
     pub answer: Answer,
+    /// Report, if one was requested and the member was not too busy to give it.
     pub report: Option<StatusReport>,
 }
 
-/// Sends a statement with what it needs of the session, and reads the answer.
+/// Sends a statement with the session setup that it needs, and reads the answers.
 pub async fn run(
     link: &mut Connection,
     codec: &MemberCodec,
@@ -131,7 +134,8 @@
     call: &Call<'_>,
 ) -> Result<Outcome> {
     let mut output = BytesMut::new();
-    let skipped = put_session(&mut output, codec, link, values, call.prepared_statement);
+    let setup_requests =
+        write_session_setup(&mut output, codec, link, values, call.prepared_statement);
     let statement = call.statement;
     match (&statement.kind, call.prepared_statement) {
         (StatementKind::Execute { arguments, .. }, Some(prepared_statement)) => (codec.encode)(
@@ -156,19 +160,19 @@
         (codec.encode)(&mut output, &MemberRequest::Status);
     }
     link.socket.write(output).await?;
-    skip_answers(link, codec, skipped).await?;
+    expect_success(link, codec, setup_requests).await?;
     let answer = read_answer(link, codec).await?;
     if !call.wants_report {
         let report = None;
         return Ok(Outcome { answer, report });
     }
     let second = read_answer(link, codec).await?;
-    // A member that is too busy to report proves nothing.
+    // A member that is too busy to report does not confirm its leadership.
     let report = (codec.report)(&second.body).ok();
     Ok(Outcome { answer, report })
 }
 
-/// Begins a transaction on a connection that has the session's values.
+/// Begins a transaction on a connection, after the session setup.
 pub async fn begin(
     link: &mut Connection,
     codec: &MemberCodec,
@@ -177,13 +181,13 @@
     is_read_only: bool,
 ) -> Result<Answer> {
     let mut output = BytesMut::new();
-    let skipped = put_session(&mut output, codec, link, values, None);
+    let setup_requests = write_session_setup(&mut output, codec, link, values, None);
     let request = MemberRequest::Begin {
         after,
         is_read_only,
     };
     (codec.encode)(&mut output, &request);
     link.socket.write(output).await?;
-    skip_answers(link, codec, skipped).await?;
+    expect_success(link, codec, setup_requests).await?;
     read_answer(link, codec).await
 }
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -1,8 +1,9 @@
-//! The path of a statement without a protocol of its own.
+//! The relay, which carries statements from callers to members.
 //!
-//! A session task owns the socket of a caller, a service task the connections
-//! to the members of one service; they talk by messages. What is said on the
-//! sockets is left to two codecs, plain structs of functions.
+//! A session task owns the socket of one caller; a service task owns the
+//! connections to the members of one service. They communicate by messages. The
+//! relay has no wire protocol of its own: the codecs, plain structs of
+//! functions, define what is read and written on the sockets.
 
 mod answer;
 mod codec;
--- a/src/relay/prepared.rs
+++ b/src/relay/prepared.rs
@@ -1,4 +1,5 @@
-//! Prepared statements, named by what they are, so that callers share them.
+//! Prepared statements. Their names are derived from their content, so that
+//! callers share them on pooled connections.
 
 use std::hash::Hasher;
 
@@ -8,14 +9,14 @@
 use super::Access;
 use crate::prelude::*;
 
-/// What a prepared statement is.
+/// A prepared statement.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PreparedStatement {
     /// Whether it reads or writes.
     pub access: Access,
-    /// The statement.
+    /// Text of the statement.
     pub text: Bytes,
-    /// Name that it has on connections to members.
+    /// Name on connections to members.
     pub name: Name,
 }
 
@@ -24,11 +25,11 @@
     pub fn new(access: Access, text: Bytes) -> PreparedStatement {
         let mut hasher = SipHasher13::new();
         hasher.write(&text);
-        let mark = match access {
+        let prefix = match access {
             Access::Read => 'r',
             Access::Write => 'w',
         };
-        let name = format!("{mark}{:016x}", hasher.finish()).into();
+        let name = format!("{prefix}{:016x}", hasher.finish()).into();
         PreparedStatement { access, text, name }
     }
 }
--- a/src/relay/socket.rs
+++ b/src/relay/socket.rs
@@ -1,4 +1,4 @@
-//! A socket with its input.
+//! A socket with its input buffer.
 
 use bytes::BytesMut;
 use compio::{
@@ -13,10 +13,10 @@
 /// Bytes reserved before a read: most requests and answers fit.
 const READ_BYTES: usize = 2 << 10;
 
-/// A socket with its input, owned by one task.
+/// A socket with its input buffer, owned by one task.
 pub struct Socket {
     stream: TcpStream,
-    /// Bytes that came and were not taken.
+    /// Received bytes that are not decoded yet.
     pub input: BytesMut,
 }
 
@@ -27,7 +27,7 @@
     ///
     /// Returns an error when the stream is already closed.
     pub fn new(stream: TcpStream) -> Result<Socket> {
-        // Small answers must not wait for the receipt of earlier ones.
+        // Small answers must not wait until earlier ones are acknowledged.
         stream.set_nodelay(true)?;
         Ok(Socket {
             stream,
@@ -35,7 +35,7 @@
         })
     }
 
-    /// Another handle of the same stream, to write while this one reads.
+    /// Another handle of the same stream, to write while this one is reading.
     pub fn writer(&self) -> TcpStream {
         self.stream.clone()
     }
@@ -60,12 +60,12 @@
     ///
     /// # Errors
     ///
-    /// Returns an error when the connection ends.
+    /// Returns an error when the connection fails.
     pub async fn write(&self, output: BytesMut) -> Result<()> {
         write(&self.stream, output).await
     }
 
-    /// Whether the other side closed the connection or sent what nobody asked for.
+    /// Whether the peer closed the connection or sent data that was not requested.
     pub fn is_stale(&self) -> bool {
         !is_open_and_idle(&self.stream) || !self.input.is_empty()
     }
@@ -75,15 +75,16 @@
 ///
 /// # Errors
 ///
-/// Returns an error when the connection ends.
+/// Returns an error when the connection fails.
 pub async fn write(stream: &TcpStream, output: BytesMut) -> Result<()> {
     let mut stream = stream;
     let BufResult(result, _) = stream.write_all(output).await;
     Ok(result?)
 }
 
-/// Reads messages in a task of its own, so that none is lost while the receiver
-/// waits for something else. The channel ends after the first error.
+/// Reads messages into a channel until the first error, which is sent as well.
+/// Runs as a task of its own: a receiver that stops waiting for a message does
+/// not cancel a read half-way, which would lose data.
 pub async fn read_messages<T>(
     mut socket: Socket,
     messages: flume::Sender<Result<T>>,
@@ -98,8 +99,8 @@
             },
             Err(error) => Err(error),
         };
-        let is_over = message.is_err();
-        if messages.send_async(message).await.is_err() || is_over {
+        let is_last = message.is_err();
+        if messages.send_async(message).await.is_err() || is_last {
             return;
         }
     }
--- a/src/relay/statement.rs
+++ b/src/relay/statement.rs
@@ -1,4 +1,4 @@
-//! What callers ask for.
+//! Statements of callers.
 
 use bytes::Bytes;
 
@@ -12,18 +12,18 @@
     Write,
 }
 
-/// Kind of a statement, with what the relay needs to know of it.
+/// Kind of a statement, with the parts that the relay needs.
 #[derive(Clone, Debug, PartialEq, Eq, strum::IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
 pub enum StatementKind {
     /// Begins a transaction.
     Begin {
-        /// Whether it may only read.
+        /// Whether it is read-only.
         is_read_only: bool,
     },
-    /// Ends the transaction and keeps its writes.
+    /// Commits the transaction.
     Commit,
-    /// Ends the transaction without its writes.
+    /// Rolls the transaction back.
     Rollback,
     /// Reads.
     Read,
@@ -31,25 +31,25 @@
     Write,
     /// Sets a value of the session.
     Set {
-        /// Name of the value.
+        /// Name.
         name: Bytes,
-        /// The value.
+        /// Value.
         value: Bytes,
     },
-    /// Names a statement of the session.
+    /// Prepares a statement for the session.
     Prepare {
         /// Name.
         name: Bytes,
         /// Whether it reads or writes.
         access: Access,
-        /// The statement.
+        /// Text of the statement.
         definition: Bytes,
     },
     /// Runs a prepared statement.
     Execute {
         /// Name.
         name: Bytes,
-        /// Its arguments, as they came.
+        /// Arguments, as the caller sent them.
         arguments: Bytes,
     },
     /// Drops a prepared statement.
@@ -57,17 +57,17 @@
         /// Name.
         name: Bytes,
     },
-    /// A text that is none of these.
+    /// A statement that the codec does not recognize.
     Unknown,
 }
 
 /// A statement of a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Statement {
-    /// Id that the caller gave it.
+    /// Id assigned by the caller.
     pub id: Bytes,
-    /// Kind.
+    /// Kind, which decides how the relay handles it.
     pub kind: StatementKind,
-    /// Text as it came.
+    /// Text, as the caller sent it.
     pub text: Bytes,
 }
