--- a/src/relay/exchange.rs
+++ b/src/relay/exchange.rs
@@ -52,7 +52,11 @@
 ///
 /// Returns an error when the connection fails or an answer is an error. The state
 /// of the member's session is then unknown.
-pub async fn expect_success(link: &mut Connection, codec: &MemberCodec, count: usize) -> Result<()> {
+pub async fn expect_success(
+    link: &mut Connection,
+    codec: &MemberCodec,
+    count: usize,
+) -> Result<()> {
     for _ in 0..count {
         let answer = read_answer(link, codec).await?;
         if let Some(class) = answer.error {
--- a/src/relay/forward.rs
+++ b/src/relay/forward.rs
@@ -1,17 +1,18 @@
-//! Standing for a member towards VMs that don't reach it themselves.
+//! Forwards the statements of other VMs to members that they can't reach.
 //!
-//! Such a VM opens a connection here as it would open one to the member. Its
-//! session values and prepared statements are remembered; each statement or
-//! transaction borrows one of this VM's own connections to the member.
+//! Another VM opens a connection here as it would open one to the member. This
+//! VM keeps the session values and prepared statements of that connection, and
+//! runs each statement or transaction on one of its own pooled connections to
+//! the member.
 
-mod conversation;
+mod session;
 
 use std::rc::Rc;
 
 use bytes::BytesMut;
 use compio::net::TcpStream;
 
-use self::conversation::Conversation;
+use self::session::ForwardSession;
 use super::{
     ErrorClass, ForwardMessage, Result, SessionState,
     handle::Shared,
@@ -19,13 +20,13 @@
 };
 use crate::{decision_log::decision, prelude::*};
 
-/// Messages of a VM that wait for their turn.
+/// Messages of another VM that are read ahead.
 const BACKLOG: usize = 16;
-/// Time after which a connection on which nothing is said is closed: a VM that
-/// lost power closes none.
+/// Time after which an idle connection is closed: a VM that lost power does not
+/// close its connections.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Time by which a transaction here outlives the limit that the other VM
-/// keeps: it ends its transactions itself unless it is lost.
+/// Added to the limit for idle transactions: the other VM ends its idle
+/// transactions itself, so that this VM ends only those of a lost VM.
 const TRANSACTION_MARGIN: Duration = Duration::from_secs(1);
 
 /// Serves a connection of another VM until it ends.
@@ -37,74 +38,74 @@
     let (sender, messages) = flume::bounded(BACKLOG);
     let decode = shared.options.codecs.forward.decode;
     let reader = compio::runtime::spawn(read_messages(socket, sender, decode));
-    if let Err(error) = converse(shared, &writer, &messages).await {
-        decision!("forward", reason = error.to_string(); "connection of another VM broken");
+    if let Err(error) = serve_session(shared, &writer, &messages).await {
+        decision!("forward", reason = error.to_string(); "connection of another VM failed");
     }
-    // Ends the task, and with it the last handle of the socket.
+    // Cancels the reader task, which owns the last handle of the socket.
     drop(reader);
 }
 
-async fn converse(
+async fn serve_session(
     shared: &Rc<Shared>,
     writer: &TcpStream,
     messages: &flume::Receiver<Result<ForwardMessage>>,
 ) -> Result<()> {
-    let Some(ForwardMessage::Open { service, member }) = next(messages, IDLE_TIMEOUT).await? else {
+    let Some(ForwardMessage::Open { service, member }) =
+        next_message(messages, IDLE_TIMEOUT).await?
+    else {
         return Ok(());
     };
     let codec = &shared.options.codecs.caller;
     let mut output = BytesMut::new();
-    if shared.service(&service).is_none() {
+    if shared.mailbox(&service).is_none() {
         (codec.error)(&mut output, ErrorClass::WrongMember, "no such service");
         return super::socket::write(writer, output).await;
     }
     (codec.ready)(&mut output, SessionState::Idle, None);
     super::socket::write(writer, output).await?;
-    let mut conversation = Conversation::new(shared.clone(), service, member, messages.clone());
-    let ended = talk(shared, writer, messages, &mut conversation).await;
-    conversation.finish();
+    let mut session = ForwardSession::new(shared.clone(), service, member, messages.clone());
+    let ended = run_session(shared, writer, messages, &mut session).await;
+    session.finish();
     ended
 }
 
-async fn talk(
+async fn run_session(
     shared: &Shared,
     writer: &TcpStream,
     messages: &flume::Receiver<Result<ForwardMessage>>,
-    conversation: &mut Conversation,
+    session: &mut ForwardSession,
 ) -> Result<()> {
-    let mut early = None;
+    let mut read_ahead = None;
     loop {
-        let limit = match conversation.is_in_transaction() {
+        let limit = match session.is_in_transaction() {
             true => Duration::from_millis(shared.transaction_idle_ms()) + TRANSACTION_MARGIN,
             false => IDLE_TIMEOUT,
         };
-        let message = match early.take() {
+        let message = match read_ahead.take() {
             Some(message) => Some(message),
-            None => next(messages, limit).await?,
+            None => next_message(messages, limit).await?,
         };
         let Some(message) = message else {
             return Ok(());
         };
         let mut output = BytesMut::new();
-        // A report that was asked for right behind a statement goes with it.
+        // A report requested right after a statement is answered together with it.
         let mut wants_report = false;
         if let ForwardMessage::Run { .. } = message {
-            early = messages.try_recv().ok().transpose()?;
-            wants_report = matches!(early, Some(ForwardMessage::Status));
-            early = early.filter(|_| !wants_report);
+            read_ahead = messages.try_recv().ok().transpose()?;
+            wants_report = matches!(read_ahead, Some(ForwardMessage::Status));
+            read_ahead = read_ahead.filter(|_| !wants_report);
         }
-        let is_going_on = conversation
-            .answer(message, wants_report, &mut output)
-            .await?;
-        if !is_going_on {
+        let stays_open = session.answer(message, wants_report, &mut output).await?;
+        if !stays_open {
             return Ok(());
         }
         super::socket::write(writer, output).await?;
     }
 }
 
-/// The next message; `None` once the connection is closed or idle for too long.
-async fn next(
+/// Next message; `None` once the connection is closed or idle for too long.
+async fn next_message(
     messages: &flume::Receiver<Result<ForwardMessage>>,
     limit: Duration,
 ) -> Result<Option<ForwardMessage>> {
--- a/src/relay/forward/conversation.rs
+++ b/src/relay/forward/session.rs
@@ -1,4 +1,4 @@
-//! What is said on one connection of another VM.
+//! Session on one connection of another VM.
 
 use futures::channel::oneshot;
 
@@ -15,37 +15,37 @@
     },
 };
 
-/// Longest wait for a connection to the member, in milliseconds: the VM that
-/// asks needs time to try another way.
-const WAIT_MS: u64 = 250;
-/// Priority among the requests for the member: the VM that asks has ordered its
-/// own by that of their routes.
+/// Longest wait for a connection to the member: the requesting VM needs time to
+/// try another path.
+const CONNECTION_WAIT_MS: u64 = 250;
+/// Priority of all forwarded requests: the requesting VM has already ordered its
+/// own by the priority of their routes.
 const PRIORITY: u32 = 1;
-/// Why a VM that stops takes no more requests of others.
-const STOPPING: &str = "this VM is stopping";
+/// Text with which a stopping VM refuses forwarded requests.
+const STOPPING_TEXT: &str = "this VM is stopping";
 
-/// One connection of another VM, as if it led to the member.
-pub struct Conversation {
+/// Session on a connection of another VM, for which this VM acts as the member.
+pub struct ForwardSession {
     shared: Rc<Shared>,
     service: Name,
     member: Name,
-    /// What the VM says; the channel ends when the VM has closed the connection.
+    /// Messages of the VM; disconnected once the VM has closed the connection.
     messages: flume::Receiver<Result<ForwardMessage>>,
     values: Rc<SessionVariables>,
     prepared: BTreeMap<Name, PreparedStatement>,
-    /// The member's connection while a transaction is open.
+    /// Connection to the member while a transaction is open.
     link: Option<Connection>,
 }
 
-impl Conversation {
-    /// Starts a conversation about a member.
+impl ForwardSession {
+    /// Creates a session that forwards to a member.
     pub fn new(
         shared: Rc<Shared>,
         service: Name,
         member: Name,
         messages: flume::Receiver<Result<ForwardMessage>>,
-    ) -> Conversation {
-        Conversation {
+    ) -> ForwardSession {
+        ForwardSession {
             shared,
             service,
             member,
@@ -56,13 +56,14 @@
         }
     }
 
-    /// Writes the answer to a message, and to a request for a report right
-    /// behind a statement; `false` if the connection ends.
+    /// Writes the answer to a message, and to a report request that follows a
+    /// statement; `false` if the connection is to be closed.
     ///
     /// # Errors
     ///
-    /// Returns an error when the member's connection breaks: the VM that asked
-    /// then knows as much as if it had been its own.
+    /// Returns an error when the connection to the member fails. Closing the
+    /// requesting VM's connection then tells it what a failure of its own
+    /// connection to the member would.
     pub async fn answer(
         &mut self,
         message: ForwardMessage,
@@ -76,24 +77,24 @@
             }
             ForwardMessage::Set { name, value } => {
                 Rc::make_mut(&mut self.values).insert(name, value);
-                self.put_done(output);
+                self.write_complete(output);
             }
             ForwardMessage::Prepare(prepared_statement) => {
                 self.prepared
                     .insert(prepared_statement.name.clone(), prepared_statement);
-                self.put_done(output);
+                self.write_complete(output);
             }
             ForwardMessage::Reset => {
                 self.values = Rc::default();
                 self.prepared.clear();
-                self.put_done(output);
+                self.write_complete(output);
             }
             ForwardMessage::Status => return Ok(self.report(output).await),
             ForwardMessage::Rollback => {
                 if let Some(link) = self.link.take() {
-                    self.give_back(link, true, None);
+                    self.release(link, true, None);
                 }
-                self.put_done(output);
+                self.write_complete(output);
             }
             ForwardMessage::Begin {
                 after,
@@ -103,10 +104,10 @@
         Ok(true)
     }
 
-    /// Gives back what the connection has borrowed, once it has ended.
+    /// Releases the member's connection, after the end of this one.
     pub fn finish(&mut self) {
         if let Some(link) = self.link.take() {
-            self.give_back(link, true, None);
+            self.release(link, true, None);
         }
     }
 
@@ -115,7 +116,7 @@
         self.link.is_some()
     }
 
-    fn put_done(&self, output: &mut BytesMut) {
+    fn write_complete(&self, output: &mut BytesMut) {
         let codec = &self.shared.options.codecs.caller;
         (codec.complete)(output);
         (codec.ready)(output, self.state(), None);
@@ -128,11 +129,12 @@
         }
     }
 
-    /// Writes the member's report; `false` if the member is silent: the VM that
-    /// asked then takes it for silent, too.
+    /// Writes the member's report; `false` if the member does not answer. The
+    /// connection is then closed, and the requesting VM takes the member for
+    /// silent as well.
     async fn report(&self, output: &mut BytesMut) -> bool {
         if self.shared.stopping.borrow().is_some() {
-            self.put_error(ErrorClass::WrongMember, STOPPING, output);
+            self.write_error(ErrorClass::WrongMember, STOPPING_TEXT, output);
             return true;
         }
         let (reply, report) = oneshot::channel();
@@ -147,16 +149,16 @@
             Err(ReportError::Silent) => return false,
             Err(ReportError::Busy) => {
                 let text = "the member has too much to do";
-                self.put_error(ErrorClass::Busy, text, output);
+                self.write_error(ErrorClass::Busy, text, output);
                 return true;
             }
             Err(ReportError::NotReached) => {
                 let text = "this VM does not go to the member itself";
-                self.put_error(ErrorClass::WrongMember, text, output);
+                self.write_error(ErrorClass::WrongMember, text, output);
                 return true;
             }
         };
-        self.put_report(&report, output);
+        self.write_report(&report, output);
         true
     }
 
@@ -169,19 +171,19 @@
         let mut link = match self.acquire(b"-", true).await {
             Ok(link) => link,
             Err(refusal) => {
-                self.put_refusal(&refusal, output);
+                self.write_refusal(&refusal, output);
                 return Ok(());
             }
         };
         let codec = self.shared.options.codecs.member;
         let begun = begin(&mut link, &codec, &self.values, after, is_read_only).await;
         let answer = begun.inspect_err(|_| self.suspect())?;
-        self.conclude(link, &answer, None, output);
+        self.forward_answer(link, &answer, None, output);
         Ok(())
     }
 
-    /// Runs a statement, and asks for a report right behind it on the same
-    /// connection if that is wanted; `false` if the connection ends.
+    /// Runs a statement, followed by a report request on the same connection if
+    /// `wants_report`; `false` if the connection is to be closed.
     async fn run(
         &mut self,
         statement: &Statement,
@@ -193,21 +195,21 @@
                 let name = String::from_utf8_lossy(name);
                 let Some(prepared_statement) = self.prepared.get(&*name) else {
                     let text = "no such prepared statement";
-                    self.put_error(ErrorClass::NoStatement, text, output);
-                    return self.report_if(wants_report, output).await;
+                    self.write_error(ErrorClass::NoStatement, text, output);
+                    return self.report_if_wanted(wants_report, output).await;
                 };
                 Some(prepared_statement.clone())
             }
             _ => None,
         };
-        let is_alone = self.link.is_none();
+        let is_autocommit = self.link.is_none();
         let mut link = match self.link.take() {
             Some(link) => link,
             None => match self.acquire(&statement.id, false).await {
                 Ok(link) => link,
                 Err(refusal) => {
-                    self.put_refusal(&refusal, output);
-                    return self.report_if(wants_report, output).await;
+                    self.write_refusal(&refusal, output);
+                    return self.report_if_wanted(wants_report, output).await;
                 }
             },
         };
@@ -227,35 +229,36 @@
             service = &*self.service, member = &*self.member, took_ms = took_us / 1_000,
             outcome = answer.error.map_or("done", Into::into); "statement forwarded"
         );
-        self.conclude(link, &answer, is_alone.then_some(took_us), output);
+        self.forward_answer(link, &answer, is_autocommit.then_some(took_us), output);
         match report {
-            Some(report) => self.put_report(&report, output),
+            Some(report) => self.write_report(&report, output),
             None if wants_report => {
                 let text = "the member has too much to do";
-                self.put_error(ErrorClass::Busy, text, output);
+                self.write_error(ErrorClass::Busy, text, output);
             }
             None => {}
         }
         Ok(true)
     }
 
-    /// Answers a request for a report that follows a statement which did not
-    /// reach the member.
-    async fn report_if(&self, wants_report: bool, output: &mut BytesMut) -> Result<bool> {
+    /// Answers the report request that follows a statement which did not reach
+    /// the member.
+    async fn report_if_wanted(&self, wants_report: bool, output: &mut BytesMut) -> Result<bool> {
         match wants_report {
             true => Ok(self.report(output).await),
             false => Ok(true),
         }
     }
 
-    fn put_report(&self, report: &StatusReport, output: &mut BytesMut) {
+    fn write_report(&self, report: &StatusReport, output: &mut BytesMut) {
         let codecs = &self.shared.options.codecs;
         (codecs.forward.report)(output, report);
         (codecs.caller.ready)(output, self.state(), None);
     }
 
-    /// Passes an answer on, and keeps the connection while a transaction is open.
-    fn conclude(
+    /// Passes an answer on, and keeps the connection to the member while a
+    /// transaction is open.
+    fn forward_answer(
         &mut self,
         link: Connection,
         answer: &Answer,
@@ -269,10 +272,11 @@
         let codec = &self.shared.options.codecs.caller;
         (codec.ready)(output, answer.state, answer.position);
         if let Some(class) = answer.error {
-            self.shared.note_refusal(&self.service, &self.member, class);
+            self.shared
+                .report_refusal(&self.service, &self.member, class);
         }
         match answer.state {
-            SessionState::Idle => self.give_back(link, false, read_us),
+            SessionState::Idle => self.release(link, false, read_us),
             _ => self.link = Some(link),
         }
     }
@@ -288,13 +292,13 @@
             retry_after_ms: 0,
         };
         if self.shared.stopping.borrow().is_some() {
-            return Err(refused(ErrorClass::WrongMember, STOPPING));
+            return Err(refused(ErrorClass::WrongMember, STOPPING_TEXT));
         }
         let (reply, granted) = oneshot::channel();
         let acquire = Acquire {
             id: bytes::Bytes::copy_from_slice(id),
             purpose: Purpose::Forward(self.member.clone()),
-            deadline_ms: clock::boot_ms() + WAIT_MS,
+            deadline_ms: clock::boot_ms() + CONNECTION_WAIT_MS,
             priority: PRIORITY,
             is_transaction,
             avoid: BTreeSet::new(),
@@ -306,13 +310,13 @@
         let lost = refused(ErrorClass::WrongMember, "the service is not served");
         let link = granted.await.unwrap_or(Err(lost))?.connection;
         if self.messages.is_disconnected() {
-            self.give_back(link, false, None);
+            self.release(link, false, None);
             return Err(refused(ErrorClass::Busy, "the VM that asked has gone"));
         }
         Ok(link)
     }
 
-    fn put_refusal(&self, refusal: &Refused, output: &mut BytesMut) {
+    fn write_refusal(&self, refusal: &Refused, output: &mut BytesMut) {
         let class: &'static str = refusal.class.into();
         let labels = [label("outcome", class)];
         self.shared.metrics.forwarded.add(1, &labels);
@@ -320,16 +324,16 @@
             "forward", service = &*self.service, member = &*self.member, outcome = class,
             reason = refusal.text; "statement not forwarded"
         );
-        self.put_error(refusal.class, refusal.text, output);
+        self.write_error(refusal.class, refusal.text, output);
     }
 
-    fn put_error(&self, class: ErrorClass, text: &str, output: &mut BytesMut) {
+    fn write_error(&self, class: ErrorClass, text: &str, output: &mut BytesMut) {
         let codec = &self.shared.options.codecs.caller;
         (codec.error)(output, class, text);
         (codec.ready)(output, self.state(), None);
     }
 
-    fn give_back(&self, link: Connection, needs_rollback: bool, read_us: Option<u64>) {
+    fn release(&self, link: Connection, needs_rollback: bool, read_us: Option<u64>) {
         let message = ServiceMessage::Release {
             connection: link,
             needs_rollback,
--- a/src/relay/handle.rs
+++ b/src/relay/handle.rs
@@ -1,4 +1,4 @@
-//! The relay of a VM: what is configured and listed, and who listens.
+//! The relay of a VM: its configuration, members, listeners and shutdown.
 
 use std::{
     cell::{Cell, RefCell},
@@ -16,19 +16,19 @@
 };
 use crate::{clock, decision_log::decision, metrics::Metrics, prelude::*};
 
-/// Pause after a connection could not be accepted.
+/// Pause after a failed `accept`.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// Time between two looks at the sessions while the VM stops.
+/// Interval at which a stopping VM checks whether its sessions have ended.
 const STOP_POLL: Duration = Duration::from_millis(50);
-/// Limit of idle transactions before a configuration says one, in milliseconds:
-/// no transaction can be open then.
-const UNKNOWN_IDLE_MS: u64 = 3_600_000;
-/// Part of the grace that is left for the end of the process, in milliseconds.
+/// Limit for idle transactions without a configuration. No transaction can be
+/// open then, so the limit never applies.
+const UNCONFIGURED_IDLE_MS: u64 = 3_600_000;
+/// Part of the grace period that is kept for the exit of the process.
 const STOP_RESERVE_MS: u64 = 800;
 
-/// What the tasks of a relay share.
+/// State shared by the tasks of a relay.
 pub struct Shared {
-    /// Surroundings.
+    /// Options and dependencies.
     pub options: Rc<RelayOptions>,
     /// Metrics.
     pub metrics: Metrics,
@@ -37,34 +37,34 @@
     /// Mailboxes of the services.
     services: RefCell<BTreeMap<Name, flume::Sender<ServiceMessage>>>,
     roster: RefCell<MemberList>,
-    /// Sessions that are open.
+    /// Number of connected callers.
     pub sessions: Cell<usize>,
-    /// Time since which the VM stops, in milliseconds.
+    /// Time at which the VM began to stop; `None` while it serves.
     pub stopping: watch::Receiver<Option<u64>>,
 }
 
 impl Shared {
-    /// The route to a database, in the configuration in force.
+    /// Route to a database, in the configuration in force.
     pub fn route(&self, database: &Name) -> Option<Arc<Route>> {
         let catalog = self.catalog.borrow();
         catalog.as_ref()?.routes.get(database).cloned()
     }
 
-    /// The mailbox of a service.
-    pub fn service(&self, service: &Name) -> Option<flume::Sender<ServiceMessage>> {
+    /// Mailbox of a service's task.
+    pub fn mailbox(&self, service: &Name) -> Option<flume::Sender<ServiceMessage>> {
         self.services.borrow().get(service).cloned()
     }
 
     /// Sends a message to a service's task.
     pub fn send(&self, service: &Name, message: ServiceMessage) {
-        if let Some(mailbox) = self.service(service) {
-            // The task ends only with the process.
+        if let Some(mailbox) = self.mailbox(service) {
+            // Can't fail: the task ends only with the process.
             let _ = mailbox.send(message);
         }
     }
 
-    /// What follows for a service from an answer that says it was not run.
-    pub fn note_refusal(&self, service: &Name, member: &Name, class: ErrorClass) {
+    /// Tells a service's task that a member refused a statement.
+    pub fn report_refusal(&self, service: &Name, member: &Name, class: ErrorClass) {
         let member = member.clone();
         let message = match class {
             ErrorClass::ReadOnly => ServiceMessage::NotPrimary { member },
@@ -79,14 +79,14 @@
         self.send(service, message);
     }
 
-    /// Time after which an idle transaction may be ended, in milliseconds.
+    /// Time after which an idle transaction is ended.
     pub fn transaction_idle_ms(&self) -> u64 {
         let catalog = self.catalog.borrow();
         let limits = catalog.as_ref().map(|c| c.limits);
-        limits.map_or(UNKNOWN_IDLE_MS, |limits| limits.transaction_idle_ms)
+        limits.map_or(UNCONFIGURED_IDLE_MS, |limits| limits.transaction_idle_ms)
     }
 
-    /// Replicas that must have received a commit of a service.
+    /// Number of replicas that must receive a commit before it is acknowledged.
     pub fn sync_replicas(&self, service: &Name) -> u32 {
         let catalog = self.catalog.borrow();
         let entry = catalog.as_ref().and_then(|c| c.services.get(service));
@@ -103,7 +103,7 @@
 }
 
 impl Relay {
-    /// Creates a relay that knows neither a configuration nor members yet.
+    /// Creates a relay without a configuration and members.
     pub fn new(options: RelayOptions, metrics: Metrics) -> Relay {
         let (stop, stopping) = watch::channel(None);
         let shared = Shared {
@@ -124,12 +124,12 @@
     }
 
     /// Whether requests can be served: a configuration is in force, members
-    /// are known, and the VM does not stop.
+    /// are listed, and the VM is not stopping.
     pub fn readiness(&self) -> watch::Receiver<bool> {
         self.ready.subscribe()
     }
 
-    fn note_ready(&self) {
+    fn update_readiness(&self) {
         let has_members = !self.shared.roster.borrow().members.is_empty();
         let is_stopping = self.shared.stopping.borrow().is_some();
         let is_ready = self.version().is_some() && has_members && !is_stopping;
@@ -143,7 +143,7 @@
         self.shared.catalog.borrow().as_ref().map(|c| c.version)
     }
 
-    /// Puts a configuration in force unless it is older than the one that is.
+    /// Puts a configuration in force if it is newer than the current one.
     pub fn apply(&self, catalog: RelayConfig) {
         let before = self.version();
         if before.is_some_and(|before| before >= catalog.version) {
@@ -154,7 +154,7 @@
             routes = catalog.routes.len(); "configuration in force"
         );
         for (service, entry) in &catalog.services {
-            match self.shared.service(service) {
+            match self.shared.mailbox(service) {
                 Some(_) => {
                     let message = ServiceMessage::Config(entry.clone());
                     self.shared.send(service, message);
@@ -163,7 +163,7 @@
             }
         }
         *self.shared.catalog.borrow_mut() = Some(Arc::new(catalog));
-        self.note_ready();
+        self.update_readiness();
     }
 
     fn start_service(&self, name: &Name, entry: super::ServiceConfig) {
@@ -175,28 +175,28 @@
             .insert(name.clone(), mailbox);
         let vms = self.vms.borrow().clone();
         self.shared.send(name, ServiceMessage::Vms(vms));
-        self.tell_members(name);
+        self.send_members(name);
     }
 
-    /// Takes the members as the platform lists them now.
+    /// Replaces the members by those that the platform lists now.
     pub fn update_members(&self, roster: MemberList) {
         if *self.shared.roster.borrow() == roster {
             return;
         }
         *self.shared.roster.borrow_mut() = roster;
-        self.note_ready();
+        self.update_readiness();
         for service in self.services() {
-            self.tell_members(&service);
+            self.send_members(&service);
         }
     }
 
-    /// Takes the VMs that are at work.
+    /// Replaces the VMs by those that are active now.
     pub fn update_vms(&self, vms: Vms) {
         if **self.vms.borrow() == vms {
             return;
         }
         let names: Vec<&str> = vms.places.keys().map(|vm| &**vm).collect();
-        decision!("placement", vms = names.join(" "); "VMs at work");
+        decision!("placement", vms = names.join(" "); "active VMs changed");
         let vms = Rc::new(vms);
         *self.vms.borrow_mut() = vms.clone();
         for service in self.services() {
@@ -209,7 +209,7 @@
         self.shared.services.borrow().keys().cloned().collect()
     }
 
-    fn tell_members(&self, service: &Name) {
+    fn send_members(&self, service: &Name) {
         let roster = self.shared.roster.borrow();
         let members = roster.members.iter();
         let members = members.filter(|(_, m)| m.service == *service);
@@ -218,7 +218,7 @@
             .send(service, ServiceMessage::Members { members });
     }
 
-    /// Serves callers that connect. Never ends.
+    /// Accepts and serves callers. Never returns.
     pub async fn accept(&self, listener: TcpListener) {
         loop {
             let stream = next_connection(&listener).await;
@@ -232,7 +232,8 @@
         }
     }
 
-    /// Serves other VMs that send statements through this one. Never ends.
+    /// Accepts and serves other VMs that forward statements through this one.
+    /// Never returns.
     pub async fn accept_forwarded(&self, listener: TcpListener) {
         loop {
             let stream = next_connection(&listener).await;
@@ -241,8 +242,9 @@
         }
     }
 
-    /// Stops: answers what runs, ends sessions between requests. Returns once
-    /// all have ended or the grace is over.
+    /// Stops the relay: running statements are answered, and sessions are closed
+    /// between statements. Returns once all have ended or the grace period is
+    /// over.
     pub async fn stop(&self) {
         let since_ms = clock::boot_ms();
         let end_ms = since_ms + self.shared.options.grace_ms.saturating_sub(STOP_RESERVE_MS);
@@ -250,7 +252,7 @@
             target: "stop", sessions = self.shared.sessions.get(); "stopping"
         );
         self.stop.send_replace(Some(since_ms));
-        self.note_ready();
+        self.update_readiness();
         while clock::boot_ms() < end_ms {
             let is_lingering = clock::boot_ms() < since_ms + STOP_LINGER_MS;
             if !is_lingering && self.shared.sessions.get() == 0 {
@@ -270,7 +272,7 @@
         match listener.accept().await {
             Ok((stream, _)) => return stream,
             Err(error) => {
-                log::warn!(target: "listener", "not accepted: {error}");
+                log::warn!(target: "listener", "can't accept a connection: {error}");
                 compio::time::sleep(ACCEPT_PAUSE).await;
             }
         }
--- a/src/relay/session.rs
+++ b/src/relay/session.rs
@@ -1,4 +1,4 @@
-//! The task of a caller's session.
+//! The task that serves one caller's session.
 
 mod attempt;
 mod autocommit;
@@ -7,7 +7,7 @@
 mod wait;
 
 pub use opening::serve;
-use opening::{refuse, refuse_broken};
+use opening::{refuse, refuse_invalid};
 use wait::Wake;
 
 use std::rc::Rc;
@@ -27,24 +27,25 @@
 };
 use crate::{clock, decision_log::decision, metrics::label, prelude::*};
 
-/// Time for which a stopping VM keeps idle sessions, in milliseconds: until
-/// the balancer has missed two answers.
+/// Time for which a stopping VM keeps idle sessions open: the load balancer
+/// stops sending callers after two failed health checks.
 pub const STOP_LINGER_MS: u64 = 2_200;
-/// Time over which a stopping VM spreads the ends of idle sessions, in milliseconds.
+/// Idle sessions are closed at random times over this period, so that their
+/// callers do not all reconnect at once.
 const STOP_SPREAD_MS: u64 = 600;
 
-/// What a statement came to.
+/// Result of a statement, to be sent to the caller.
 enum Reply {
     /// A member's answer.
     Answer(Answer),
-    /// Done without a member.
+    /// Success of a statement that needs no member.
     Done,
-    /// An error.
+    /// An error that the relay itself reports.
     Error(ErrorClass, String),
 }
 
 impl Reply {
-    /// Name of the outcome, for logs and metrics.
+    /// Outcome for logs and metrics: `done` or the class of the error.
     fn outcome(&self) -> &'static str {
         match self {
             Reply::Answer(answer) => answer.error.map_or("done", Into::into),
@@ -64,9 +65,10 @@
     values: Rc<SessionVariables>,
     prepared: BTreeMap<Bytes, Rc<PreparedStatement>>,
     transaction: Option<Transaction>,
-    /// Position of the session's last acknowledged commit.
+    /// Position of the session's last acknowledged commit: the floor of its reads
+    /// on a route with read-your-writes consistency.
     floor: Option<Position>,
-    /// Position that callers are told.
+    /// Position reported to the caller with each answer.
     position: Option<Position>,
 }
 
@@ -76,9 +78,9 @@
         writer: &TcpStream,
         messages: &flume::Receiver<Result<CallerMessage>>,
     ) -> Result<()> {
-        let end_spread_ms = rand::rng().random_range(0..STOP_SPREAD_MS);
+        let stop_delay_ms = rand::rng().random_range(0..STOP_SPREAD_MS);
         loop {
-            match self.wait(messages, end_spread_ms).await {
+            match self.wait(messages, stop_delay_ms).await {
                 Wake::Message(CallerMessage::Statement(statement)) => {
                     let mut output = BytesMut::new();
                     self.answer(&statement, &mut output).await;
@@ -89,9 +91,9 @@
                     let text = "the session is open already";
                     return refuse(self.shared, writer, ErrorClass::Malformed, text).await;
                 }
-                Wake::Broken(error) => return refuse_broken(self.shared, writer, error).await,
-                Wake::Due => {
-                    if self.end_due() {
+                Wake::Broken(error) => return refuse_invalid(self.shared, writer, error).await,
+                Wake::Deadline => {
+                    if self.handle_deadline() {
                         return Ok(());
                     }
                 }
@@ -111,8 +113,8 @@
         };
         let took_us = clock::boot_us() - arrived_us;
         let took_ms = took_us / 1_000;
-        self.count(kind, outcome, took_us);
-        self.log(statement, kind, outcome, reason, took_ms);
+        self.record_metrics(kind, outcome, took_us);
+        self.log_statement(statement, kind, outcome, reason, took_ms);
         match reply {
             Reply::Answer(answer) => output.extend_from_slice(&answer.body),
             Reply::Done => (codec.complete)(output),
@@ -121,7 +123,7 @@
         (codec.ready)(output, self.state(), self.position);
     }
 
-    fn count(&self, kind: &'static str, outcome: &'static str, took_us: u64) {
+    fn record_metrics(&self, kind: &'static str, outcome: &'static str, took_us: u64) {
         let labels = [label("kind", kind), label("outcome", outcome)];
         let metrics = &self.shared.metrics;
         metrics.statements.add(1, &labels);
@@ -130,7 +132,14 @@
             .record(took_us as f64 / 1_000.0, &labels[..1]);
     }
 
-    fn log(&self, statement: &Statement, kind: &str, outcome: &str, reason: &str, took_ms: u64) {
+    fn log_statement(
+        &self,
+        statement: &Statement,
+        kind: &str,
+        outcome: &str,
+        reason: &str,
+        took_ms: u64,
+    ) {
         let version = self
             .shared
             .catalog
@@ -224,7 +233,7 @@
                     .await
             }
             None => {
-                self.run_alone(statement, prepared_statement, arrived_us)
+                self.run_autocommit(statement, prepared_statement, arrived_us)
                     .await
             }
         }
--- a/src/relay/session/attempt.rs
+++ b/src/relay/session/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt to run a statement on a member.
+//! Steps of an attempt to run a statement on a member.
 
 use std::future::Future;
 
@@ -11,14 +11,15 @@
     message::{Acquire, Freshness, Granted, Purpose, Refused, ServiceMessage},
 };
 
-/// Time after which a member that has not answered is asked how it is: over
-/// the time of a long statement and a trip to another region and back.
-const LATE: Duration = Duration::from_millis(200);
-/// Rounding of times to milliseconds, on both sides of a comparison.
+/// Time after which a member that has not answered is reported as suspect, so
+/// that the service checks it: longer than a long statement and a round trip
+/// to another region take.
+const SUSPECT_AFTER: Duration = Duration::from_millis(200);
+/// Allowance for times rounded to milliseconds on both sides of a comparison.
 const ROUNDING_MS: u64 = 2;
-/// Part of a route's time-out that a statement may wait for a connection; the
-/// rest is for running it.
-const WAIT_SHARE: f64 = 0.75;
+/// Fraction of a route's timeout that a statement may wait for a connection;
+/// the rest is for running it.
+const CONNECTION_WAIT_SHARE: f64 = 0.75;
 
 /// Whether a statement writes.
 pub(super) fn is_write(
@@ -32,16 +33,17 @@
     }
 }
 
-/// A proof that was asked for.
-pub(super) type Proof = oneshot::Receiver<Option<u64>>;
+/// Pending check that a member leads: yields the highest term of the other
+/// members, or `None` if too few of them answer.
+pub(super) type LeadershipCheck = oneshot::Receiver<Option<u64>>;
 
 impl Session<'_> {
     pub(super) fn send(&self, service: &Name, message: ServiceMessage) {
         self.shared.send(service, message);
     }
 
-    /// How fresh a log must be for reads on a route; `None` where only a
-    /// primary that is proved to lead will do.
+    /// How fresh a member's log must be for reads on a route; `None` where a
+    /// primary whose leadership is confirmed must serve them.
     pub(super) fn freshness(&self, route: &Route, arrived_us: u64) -> Option<Freshness> {
         let (max_staleness_ms, floor) = match route.consistency {
             Consistency::Primary => return None,
@@ -65,7 +67,7 @@
         avoid: BTreeSet<Name>,
         arrived_us: u64,
     ) -> std::result::Result<Granted, Refused> {
-        let wait_ms = (route.timeout_ms as f64 * WAIT_SHARE) as u64;
+        let wait_ms = (route.timeout_ms as f64 * CONNECTION_WAIT_SHARE) as u64;
         let (reply, granted) = oneshot::channel();
         let acquire = Acquire {
             id: statement.id.clone(),
@@ -86,8 +88,8 @@
         granted.await.unwrap_or(Err(lost))
     }
 
-    /// Waits for an attempt; has the member asked when it is late.
-    pub(super) async fn watch<T>(
+    /// Waits for an attempt, and reports the member as suspect when it is late.
+    pub(super) async fn await_answer<T>(
         &self,
         service: &Name,
         member: &Name,
@@ -97,7 +99,7 @@
     ) -> Result<T> {
         let mut attempt = std::pin::pin!(attempt);
         let limit = Duration::from_millis(limit_ms);
-        let first = LATE.min(limit);
+        let first = SUSPECT_AFTER.min(limit);
         if let Ok(result) = compio::time::timeout(first, attempt.as_mut()).await {
             return result;
         }
@@ -112,18 +114,25 @@
         self.send(service, ServiceMessage::Suspect { member, is_commit });
     }
 
-    pub(super) fn prove(&self, service: &Name, primary: &Name, since_us: u64) -> Proof {
-        let (reply, proof) = oneshot::channel();
+    /// Starts to check that `primary` leads, with reports of the other members
+    /// that are requested after `since_us`.
+    pub(super) fn check_leadership(
+        &self,
+        service: &Name,
+        primary: &Name,
+        since_us: u64,
+    ) -> LeadershipCheck {
+        let (reply, leadership_check) = oneshot::channel();
         let message = ServiceMessage::CheckLeadership {
             primary: primary.clone(),
             since_us,
             reply,
         };
         self.send(service, message);
-        proof
+        leadership_check
     }
 
-    pub(super) fn give_back(
+    pub(super) fn release(
         &self,
         service: &Name,
         link: Connection,
@@ -138,11 +147,12 @@
         self.send(service, message);
     }
 
-    /// Takes note of a commit that was acknowledged.
+    /// Records an acknowledged commit.
     ///
-    /// A replica confirmed it after it was sent, so nobody else led then: all
-    /// that was acknowledged before lies at or before its position.
-    pub(super) fn committed(&mut self, route: &Route, answer: &Answer, sent_us: u64) {
+    /// With synchronous replicas, a replica confirmed the commit after it was
+    /// sent, so no other member led at that time: everything acknowledged
+    /// before lies at or before its position.
+    pub(super) fn record_commit(&mut self, route: &Route, answer: &Answer, sent_us: u64) {
         let Some(position) = answer.position else {
             return;
         };
@@ -157,12 +167,12 @@
         self.send(&route.service, ServiceMessage::Committed);
     }
 
-    pub(super) fn note_refusal(&self, service: &Name, member: &Name, class: ErrorClass) {
-        self.shared.note_refusal(service, member, class);
+    pub(super) fn report_refusal(&self, service: &Name, member: &Name, class: ErrorClass) {
+        self.shared.report_refusal(service, member, class);
     }
 }
 
-/// Whether the error says that the statement was not run and may be run
+/// Whether the error means that the statement was not run and may be run
 /// elsewhere.
 pub(super) fn is_not_run(class: ErrorClass) -> bool {
     matches!(
@@ -176,11 +186,11 @@
     )
 }
 
-/// The reply to a request that was refused.
-pub(super) fn refused(refused: Refused) -> Reply {
+/// Reply to a caller whose statement was refused a connection.
+pub(super) fn refusal_reply(refusal: Refused) -> Reply {
     let text = format!(
         "{}; retry after {} ms",
-        refused.text, refused.retry_after_ms
+        refusal.text, refusal.retry_after_ms
     );
-    Reply::Error(refused.class, text)
+    Reply::Error(refusal.class, text)
 }
--- a/src/relay/session/autocommit.rs
+++ b/src/relay/session/autocommit.rs
@@ -1,50 +1,50 @@
 //! Statements outside transactions.
 
 use super::{
-    attempt::{is_not_run, is_write, refused},
+    attempt::{is_not_run, is_write, refusal_reply},
     *,
 };
 use crate::{
     decide::retry::Backoff,
     relay::{
         Consistency, StatusReport,
+        connection::Connection,
         exchange::{Call, Outcome, run},
         message::{Granted, Purpose, ServiceMessage},
     },
 };
 
-/// Part of a route's time-out after which a read is tried elsewhere.
-const READ_SHARE: f64 = 0.45;
-/// Pause before a statement that was not run is tried again, in milliseconds.
-/// The first is about one statement; the last lets a queue drain.
+/// Fraction of a route's timeout after which a read is tried on another member.
+const READ_ATTEMPT_SHARE: f64 = 0.45;
+/// Pause before a statement that was not run is retried: from about the time of
+/// one statement up to the time in which a queue drains.
 const BACKOFF: Backoff = Backoff {
     base_ms: 10,
     max_ms: 100,
 };
-/// When to come back after attempts that all failed, in milliseconds.
+/// Time after which a caller should retry when all attempts have failed.
 const RETRY_MS: u64 = 300;
 
-/// What follows from an attempt.
+/// What to do after an attempt.
 enum Step {
     Reply(Reply),
-    /// Try again.
-    Again {
+    Retry {
         reason: &'static str,
-        /// Whether another member should be tried.
+        /// Whether to avoid the member that was tried.
         elsewhere: bool,
     },
 }
 
 impl Step {
-    fn elsewhere(reason: &'static str) -> Step {
-        Step::Again {
+    fn retry_elsewhere(reason: &'static str) -> Step {
+        Step::Retry {
             reason,
             elsewhere: true,
         }
     }
 
-    fn again(reason: &'static str) -> Step {
-        Step::Again {
+    fn retry(reason: &'static str) -> Step {
+        Step::Retry {
             reason,
             elsewhere: false,
         }
@@ -52,29 +52,29 @@
 }
 
 /// A statement outside a transaction.
-struct Alone<'a> {
+struct AutocommitStatement<'a> {
     statement: &'a Statement,
     prepared_statement: Option<&'a PreparedStatement>,
     arrived_us: u64,
 }
 
 impl Session<'_> {
-    pub(super) async fn run_alone(
+    pub(super) async fn run_autocommit(
         &mut self,
         statement: &Statement,
         prepared_statement: Option<Rc<PreparedStatement>>,
         arrived_us: u64,
     ) -> Reply {
-        let alone = Alone {
+        let autocommit = AutocommitStatement {
             statement,
             prepared_statement: prepared_statement.as_deref(),
             arrived_us,
         };
-        let writes = is_write(statement, alone.prepared_statement);
+        let writes = is_write(statement, autocommit.prepared_statement);
         let mut avoid = BTreeSet::new();
         let mut failures = 0;
         loop {
-            // A change of the route applies to the next attempt.
+            // Looked up for each attempt, so that a new configuration applies at once.
             let Some(route) = self.shared.route(&self.database) else {
                 return no_route();
             };
@@ -93,16 +93,16 @@
                 .await;
             let granted = match granted {
                 Ok(granted) => granted,
-                Err(refusal) => return refused(refusal),
+                Err(refusal) => return refusal_reply(refusal),
             };
             let member = granted.connection.member.clone();
             let step = match writes {
-                true => self.try_write(&route, &alone, granted).await,
-                false => self.try_read(&route, &alone, granted).await,
+                true => self.try_write(&route, &autocommit, granted).await,
+                false => self.try_read(&route, &autocommit, granted).await,
             };
             let (reason, elsewhere) = match step {
                 Step::Reply(reply) => return reply,
-                Step::Again { reason, elsewhere } => (reason, elsewhere),
+                Step::Retry { reason, elsewhere } => (reason, elsewhere),
             };
             failures += 1;
             let labels = [label("code", reason)];
@@ -112,7 +112,7 @@
                 member = &*member, failures = failures, reason = reason; "trying again"
             );
             if left_ms(&route, arrived_us) == 0 {
-                return out_of_time(reason);
+                return timed_out(reason);
             }
             if elsewhere {
                 avoid.insert(member);
@@ -123,7 +123,12 @@
         }
     }
 
-    async fn try_read(&mut self, route: &Route, alone: &Alone<'_>, granted: Granted) -> Step {
+    async fn try_read(
+        &mut self,
+        route: &Route,
+        autocommit: &AutocommitStatement<'_>,
+        granted: Granted,
+    ) -> Step {
         let service = &route.service;
         let Granted {
             connection: mut link,
@@ -131,45 +136,48 @@
             ..
         } = granted;
         let member = link.member.clone();
-        let needs_proof = route.consistency == Consistency::Primary;
-        let proof = needs_proof.then(|| self.prove(service, &member, alone.arrived_us));
+        let needs_leadership_check = route.consistency == Consistency::Primary;
+        let leadership_check = needs_leadership_check
+            .then(|| self.check_leadership(service, &member, autocommit.arrived_us));
         let call = Call {
-            statement: alone.statement,
-            prepared_statement: alone.prepared_statement,
+            statement: autocommit.statement,
+            prepared_statement: autocommit.prepared_statement,
             after,
-            wants_report: needs_proof,
+            wants_report: needs_leadership_check,
         };
         let sent_us = clock::boot_us();
-        let limit_ms = (route.timeout_ms as f64 * READ_SHARE) as u64;
-        let limit_ms = limit_ms.min(left_ms(route, alone.arrived_us)).max(1);
+        let limit_ms = (route.timeout_ms as f64 * READ_ATTEMPT_SHARE) as u64;
+        let limit_ms = limit_ms.min(left_ms(route, autocommit.arrived_us)).max(1);
         let codec = &self.shared.options.codecs.member;
         let values = self.values.clone();
         let attempt = run(&mut link, codec, &values, &call);
-        let result = self.watch(service, &member, false, limit_ms, attempt).await;
+        let result = self
+            .await_answer(service, &member, false, limit_ms, attempt)
+            .await;
         let Outcome { answer, report } = match result {
             Ok(outcome) => outcome,
             Err(error) => {
                 decision!(
-                    "request_broken", request = String::from_utf8_lossy(&alone.statement.id),
+                    "request_broken", request = String::from_utf8_lossy(&autocommit.statement.id),
                     member = &*member, reason = error.to_string(); "read broken"
                 );
                 self.suspect(service, &member, false);
-                return Step::elsewhere("no answer to a read");
+                return Step::retry_elsewhere("no answer to a read");
             }
         };
         let read_us = clock::boot_us() - sent_us;
         if let Some(class) = answer.error {
-            return self.read_failed(route, link, answer, class);
+            return self.handle_read_error(route, link, answer, class);
         }
-        self.give_back(service, link, false, Some(read_us));
-        if let Some(proof) = proof {
-            let others_term = proof.await.ok().flatten();
-            let leads =
+        self.release(service, link, false, Some(read_us));
+        if let Some(leadership_check) = leadership_check {
+            let others_term = leadership_check.await.ok().flatten();
+            let is_confirmed =
                 |r: &StatusReport| others_term.is_some_and(|term| r.confirms_leadership(term));
-            let Some(report) = report.filter(leads) else {
-                return Step::again("the primary is not proved to lead");
+            let Some(report) = report.filter(is_confirmed) else {
+                return Step::retry("the primary is not proved to lead");
             };
-            let since_ms = alone.arrived_us / 1_000;
+            let since_ms = autocommit.arrived_us / 1_000;
             let position = report.received;
             self.send(service, ServiceMessage::Observed { since_ms, position });
         }
@@ -177,51 +185,58 @@
         Step::Reply(Reply::Answer(answer))
     }
 
-    fn read_failed(
+    fn handle_read_error(
         &self,
         route: &Route,
-        mut link: super::super::connection::Connection,
+        mut link: Connection,
         answer: Answer,
         class: ErrorClass,
     ) -> Step {
         let service = &route.service;
         let member = link.member.clone();
-        self.note_refusal(service, &member, class);
+        self.report_refusal(service, &member, class);
         if class == ErrorClass::WrongMember {
-            return Step::elsewhere("another member stands at the address");
+            return Step::retry_elsewhere("another member stands at the address");
         }
         if class == ErrorClass::NoStatement {
             link.prepared.clear();
-            self.give_back(service, link, false, None);
-            return Step::again("the prepared statement was lost");
+            self.release(service, link, false, None);
+            return Step::retry("the prepared statement was lost");
         }
-        self.give_back(service, link, answer.state != SessionState::Idle, None);
+        self.release(service, link, answer.state != SessionState::Idle, None);
         match class {
-            ErrorClass::Failed | ErrorClass::Timeout => Step::elsewhere("a read failed"),
+            ErrorClass::Failed | ErrorClass::Timeout => Step::retry_elsewhere("a read failed"),
             class if is_not_run(class) && route.consistency == Consistency::Primary => {
-                Step::again("the primary did not run it")
+                Step::retry("the primary did not run it")
             }
-            class if is_not_run(class) => Step::elsewhere("the member did not run it"),
+            class if is_not_run(class) => Step::retry_elsewhere("the member did not run it"),
             _ => Step::Reply(Reply::Answer(answer)),
         }
     }
 
-    async fn try_write(&mut self, route: &Route, alone: &Alone<'_>, granted: Granted) -> Step {
+    async fn try_write(
+        &mut self,
+        route: &Route,
+        autocommit: &AutocommitStatement<'_>,
+        granted: Granted,
+    ) -> Step {
         let service = &route.service;
         let mut link = granted.connection;
         let member = link.member.clone();
         let call = Call {
-            statement: alone.statement,
-            prepared_statement: alone.prepared_statement,
+            statement: autocommit.statement,
+            prepared_statement: autocommit.prepared_statement,
             after: None,
             wants_report: false,
         };
         let sent_us = clock::boot_us();
-        let limit_ms = left_ms(route, alone.arrived_us).max(1);
+        let limit_ms = left_ms(route, autocommit.arrived_us).max(1);
         let codec = &self.shared.options.codecs.member;
         let values = self.values.clone();
         let attempt = run(&mut link, codec, &values, &call);
-        let result = self.watch(service, &member, true, limit_ms, attempt).await;
+        let result = self
+            .await_answer(service, &member, true, limit_ms, attempt)
+            .await;
         let answer = match result {
             Ok(outcome) => outcome.answer,
             Err(error) => {
@@ -230,38 +245,38 @@
             }
         };
         let Some(class) = answer.error else {
-            self.committed(route, &answer, sent_us);
+            self.record_commit(route, &answer, sent_us);
             self.position = answer.position.or(self.position);
-            self.give_back(service, link, false, None);
+            self.release(service, link, false, None);
             return Step::Reply(Reply::Answer(answer));
         };
-        self.note_refusal(service, &member, class);
+        self.report_refusal(service, &member, class);
         match class {
-            ErrorClass::WrongMember => return Step::again("another member stands at the address"),
+            ErrorClass::WrongMember => return Step::retry("another member stands at the address"),
             ErrorClass::NoStatement => link.prepared.clear(),
             _ => {}
         }
-        self.give_back(service, link, answer.state != SessionState::Idle, None);
+        self.release(service, link, answer.state != SessionState::Idle, None);
         match is_not_run(class) {
-            true => Step::again("the primary did not run it"),
+            true => Step::retry("the primary did not run it"),
             false => Step::Reply(Reply::Answer(answer)),
         }
     }
 }
 
-/// Time left of a statement's time-out, in milliseconds.
+/// Time left until a statement times out.
 pub(super) fn left_ms(route: &Route, arrived_us: u64) -> u64 {
     let deadline_ms = arrived_us / 1_000 + route.timeout_ms;
     deadline_ms.saturating_sub(clock::boot_ms())
 }
 
-/// The reply to a statement that was not run, or only read, when its time is over.
-pub(super) fn out_of_time(reason: &str) -> Reply {
+/// Reply to a statement that ran out of time without a write that may have taken effect.
+pub(super) fn timed_out(reason: &str) -> Reply {
     let text = format!("{reason}; retry after {RETRY_MS} ms");
     Reply::Error(ErrorClass::Busy, text)
 }
 
-/// The reply to a write or a commit whose answer was lost.
+/// Reply to a write or a commit whose answer was lost: it may have taken effect.
 pub(super) fn in_doubt(error: &RelayError) -> Reply {
     Reply::Error(ErrorClass::InDoubt, format!("the answer was lost: {error}"))
 }
--- a/src/relay/session/opening.rs
+++ b/src/relay/session/opening.rs
@@ -1,20 +1,19 @@
-//! The opening of a session, and what is refused there.
+//! Opening of a session, and the refusals sent to callers.
 
 use super::*;
 use crate::relay::socket::read_messages;
 
-/// Largest message before the configuration says otherwise, in bytes.
+/// Largest message of a caller; the configuration may lower it.
 const MESSAGE_MAX_BYTES: usize = 1 << 20;
-/// Messages of a caller that wait for their turn.
+/// Messages of a caller that are read ahead.
 const BACKLOG: usize = 16;
-/// Time for a caller to open its session.
+/// Time within which a caller must open its session.
 const OPEN_TIMEOUT: Duration = Duration::from_secs(5);
-/// Longest wait for a configuration after the start, less than callers wait.
+/// Longest wait for the first configuration: shorter than the timeouts of callers.
 const CONFIGURATION_WAIT_MS: u64 = 1_500;
-/// Pause between two looks for it.
 const CONFIGURATION_POLL: Duration = Duration::from_millis(20);
 
-/// Serves a caller until its session ends.
+/// Serves a caller until its connection ends.
 pub async fn serve(shared: &Rc<Shared>, stream: TcpStream) {
     let Ok(socket) = Socket::new(stream) else {
         return;
@@ -26,10 +25,10 @@
     let reader = compio::runtime::spawn(read_messages(socket, sender, move |input| {
         decode(input, limit)
     }));
-    if let Err(error) = converse(shared, &writer, &messages).await {
-        decision!("session", reason = error.to_string(); "session broken");
+    if let Err(error) = serve_session(shared, &writer, &messages).await {
+        decision!("session", reason = error.to_string(); "session failed");
     }
-    // Ends the task, and with it the last handle of the socket.
+    // Cancels the reader task, which owns the last handle of the socket.
     drop(reader);
 }
 
@@ -39,7 +38,7 @@
     limit.unwrap_or(MESSAGE_MAX_BYTES).min(MESSAGE_MAX_BYTES)
 }
 
-async fn converse(
+async fn serve_session(
     shared: &Rc<Shared>,
     writer: &TcpStream,
     messages: &flume::Receiver<Result<CallerMessage>>,
@@ -52,14 +51,14 @@
             let text = "a session starts with its opening";
             return refuse(shared, writer, ErrorClass::Malformed, text).await;
         }
-        Ok(Ok(Err(error))) => return refuse_broken(shared, writer, error).await,
+        Ok(Ok(Err(error))) => return refuse_invalid(shared, writer, error).await,
         _ => return Ok(()),
     };
     await_configuration(shared).await;
     if shared.route(&database).is_none() {
         decision!(
             "session", database = &*database, code = Code::UnknownService.number();
-            "database not known"
+            "unknown database requested"
         );
         return refuse(shared, writer, ErrorClass::NoDatabase, "no such database").await;
     }
@@ -81,7 +80,7 @@
     ended
 }
 
-/// Before the first configuration it is not known which databases there are.
+/// Waits for the first configuration: until then, no database is known.
 async fn await_configuration(shared: &Shared) {
     let deadline_ms = clock::boot_ms() + CONFIGURATION_WAIT_MS;
     while shared.catalog.borrow().is_none() && clock::boot_ms() < deadline_ms {
@@ -100,8 +99,8 @@
     socket::write(writer, output).await
 }
 
-/// Tells a caller what is wrong with its message, if it still listens.
-pub(super) async fn refuse_broken(
+/// Reports an invalid message to the caller, unless the connection is closed.
+pub(super) async fn refuse_invalid(
     shared: &Shared,
     writer: &TcpStream,
     error: RelayError,
@@ -114,7 +113,7 @@
     };
     decision!(
         "session", reason = error.to_string(), code = Code::ProtocolViolation.number();
-        "message refused"
+        "invalid message refused"
     );
     refuse(shared, writer, class, &error.to_string()).await
 }
--- a/src/relay/session/transact.rs
+++ b/src/relay/session/transact.rs
@@ -1,8 +1,8 @@
-//! Statements inside transactions, and their ends.
+//! Statements inside transactions, commits and rollbacks.
 
 use super::{
-    attempt::{is_not_run, is_write, refused},
-    autocommit::{in_doubt, left_ms, out_of_time},
+    attempt::{is_not_run, is_write, refusal_reply},
+    autocommit::{in_doubt, left_ms, timed_out},
     *,
 };
 use crate::relay::{
@@ -12,14 +12,16 @@
     message::{Granted, Purpose},
 };
 
-/// Pause before a transaction that has not run anything is begun elsewhere, in
-/// milliseconds: about one statement.
+/// Pause before a transaction that has not run anything is begun again: about
+/// the time of one statement.
 const BEGIN_PAUSE_MS: u64 = 15;
 
-/// What became of a transaction's beginning.
-enum Begun {
-    Link(Connection, Option<u64>),
-    Again(&'static str),
+/// Outcome of an attempt to begin a transaction on a member.
+enum BeginOutcome {
+    /// The connection, and the term that its member leads.
+    Begun(Connection, Option<u64>),
+    /// The transaction must be begun again, for this reason.
+    Retry(&'static str),
     Refused(Reply),
 }
 
@@ -47,14 +49,15 @@
                     .await
             }
         };
-        // Without its connection the transaction is rolled back.
+        // A member rolls the transaction back when its connection is lost.
         transaction.is_failed |= transaction.link.is_none();
         self.transaction = Some(transaction);
         reply
     }
 
-    /// Begins at a member and runs the first statement. Until that is done,
-    /// nothing has happened that could not happen elsewhere.
+    /// Begins the transaction on a member and runs its first statement. Until
+    /// that statement is done, the transaction can be begun anew on another
+    /// member.
     async fn run_first(
         &mut self,
         transaction: &mut Transaction,
@@ -69,9 +72,9 @@
                 .begin_at_member(transaction, statement, &avoid, arrived_us)
                 .await;
             let reason = match begun {
-                Begun::Refused(reply) => return reply,
-                Begun::Again(reason) => reason,
-                Begun::Link(link, led_term) => {
+                BeginOutcome::Refused(reply) => return reply,
+                BeginOutcome::Retry(reason) => reason,
+                BeginOutcome::Begun(link, led_term) => {
                     let member = link.member.clone();
                     transaction.led_term = led_term;
                     transaction.has_written = false;
@@ -93,10 +96,10 @@
             };
             decision!(
                 "retry", request = String::from_utf8_lossy(&statement.id), reason = reason;
-                "beginning again"
+                "beginning the transaction again"
             );
             if left_ms(&route, arrived_us) == 0 {
-                return out_of_time(reason);
+                return timed_out(reason);
             }
             compio::time::sleep(Duration::from_millis(BEGIN_PAUSE_MS)).await;
         }
@@ -108,14 +111,14 @@
         statement: &Statement,
         avoid: &BTreeSet<Name>,
         arrived_us: u64,
-    ) -> Begun {
+    ) -> BeginOutcome {
         let route = &transaction.route;
         let purpose = match self.freshness(route, transaction.began_us) {
             Some(freshness) if transaction.is_read_only => Purpose::Read(freshness),
             freshness => Purpose::Primary(freshness),
         };
-        // A read at the primary begins as if it wrote: the member then refuses
-        // once it does not lead any longer.
+        // On the primary, a read-only transaction begins as read-write: the
+        // member then refuses it once it no longer leads.
         let is_read_only = !purpose.is_primary();
         let granted = self
             .acquire(route, statement, (purpose, true), avoid.clone(), arrived_us)
@@ -126,7 +129,7 @@
             led_term,
         } = match granted {
             Ok(granted) => granted,
-            Err(refusal) => return Begun::Refused(refused(refusal)),
+            Err(refusal) => return BeginOutcome::Refused(refusal_reply(refusal)),
         };
         let member = link.member.clone();
         let codec = &self.shared.options.codecs.member;
@@ -134,21 +137,21 @@
         let attempt = begin(&mut link, codec, &values, after, is_read_only);
         let limit_ms = left_ms(route, arrived_us).max(1);
         let result = self
-            .watch(&route.service, &member, false, limit_ms, attempt)
+            .await_answer(&route.service, &member, false, limit_ms, attempt)
             .await;
         let answer = match result {
             Ok(answer) => answer,
             Err(_) => {
                 self.suspect(&route.service, &member, false);
-                return Begun::Again("no answer to the beginning");
+                return BeginOutcome::Retry("no answer to the beginning");
             }
         };
         let Some(class) = answer.error else {
-            return Begun::Link(link, led_term);
+            return BeginOutcome::Begun(link, led_term);
         };
-        self.note_refusal(&route.service, &member, class);
-        self.give_back(&route.service, link, true, None);
-        Begun::Again("the member did not begin")
+        self.report_refusal(&route.service, &member, class);
+        self.release(&route.service, link, true, None);
+        BeginOutcome::Retry("the member did not begin")
     }
 
     /// Runs a statement on the transaction's connection.
@@ -164,9 +167,11 @@
         let service = &route.service;
         let member = link.member.clone();
         let writes = is_write(statement, prepared_statement.as_deref());
-        let needs_proof =
-            !writes && !transaction.is_proved && route.consistency == Consistency::Primary;
-        let proof = needs_proof.then(|| self.prove(service, &member, transaction.began_us));
+        let needs_leadership_check = !writes
+            && !transaction.is_leader_confirmed
+            && route.consistency == Consistency::Primary;
+        let leadership_check = needs_leadership_check
+            .then(|| self.check_leadership(service, &member, transaction.began_us));
         transaction.has_written |= writes;
         let call = Call {
             statement,
@@ -178,7 +183,9 @@
         let codec = &self.shared.options.codecs.member;
         let values = self.values.clone();
         let attempt = run(&mut link, codec, &values, &call);
-        let result = self.watch(service, &member, false, limit_ms, attempt).await;
+        let result = self
+            .await_answer(service, &member, false, limit_ms, attempt)
+            .await;
         let answer = match result {
             Ok(outcome) => outcome.answer,
             Err(error) => {
@@ -188,8 +195,8 @@
         };
         self.position = answer.position.or(self.position);
         if let Some(class) = answer.error {
-            self.note_refusal(service, &member, class);
-            self.give_back(service, link, true, None);
+            self.report_refusal(service, &member, class);
+            self.release(service, link, true, None);
             return match class {
                 ErrorClass::Failed | ErrorClass::Timeout => {
                     aborted("a statement failed; the transaction is rolled back")
@@ -197,14 +204,14 @@
                 _ => Reply::Answer(answer),
             };
         }
-        if let Some(proof) = proof {
-            let others_term = proof.await.ok().flatten();
-            let is_proved = others_term.is_some_and(|term| Some(term) <= transaction.led_term);
-            if !is_proved {
-                self.give_back(service, link, true, None);
+        if let Some(leadership_check) = leadership_check {
+            let others_term = leadership_check.await.ok().flatten();
+            let is_confirmed = others_term.is_some_and(|term| Some(term) <= transaction.led_term);
+            if !is_confirmed {
+                self.release(service, link, true, None);
                 return aborted("the primary is not proved to lead");
             }
-            transaction.is_proved = true;
+            transaction.is_leader_confirmed = true;
         }
         transaction.link = Some(link);
         Reply::Answer(answer)
@@ -215,7 +222,7 @@
             return Reply::error(ErrorClass::Malformed, "no transaction is open");
         };
         if let Some(link) = transaction.link.take() {
-            self.give_back(&transaction.route.service, link, true, None);
+            self.release(&transaction.route.service, link, true, None);
         }
         Reply::Done
     }
@@ -225,7 +232,7 @@
             return Reply::error(ErrorClass::Malformed, "no transaction is open");
         };
         let Some(mut link) = transaction.link.take() else {
-            // It failed, or it has run nothing that a member could confirm.
+            // It failed, or has run nothing that a member could commit.
             return aborted("nothing was run; the transaction is rolled back");
         };
         let route = transaction.route.clone();
@@ -244,7 +251,7 @@
         let is_commit = transaction.has_written;
         let limit_ms = route.timeout_ms;
         let result = self
-            .watch(service, &member, is_commit, limit_ms, attempt)
+            .await_answer(service, &member, is_commit, limit_ms, attempt)
             .await;
         let answer = match result {
             Ok(outcome) => outcome.answer,
@@ -258,12 +265,12 @@
         };
         self.position = answer.position.or(self.position);
         if answer.error.is_none() && transaction.has_written {
-            self.committed(&route, &answer, sent_us);
+            self.record_commit(&route, &answer, sent_us);
         }
         if let Some(class) = answer.error {
-            self.note_refusal(service, &member, class);
+            self.report_refusal(service, &member, class);
         }
-        self.give_back(service, link, answer.state != SessionState::Idle, None);
+        self.release(service, link, answer.state != SessionState::Idle, None);
         match answer.error {
             Some(_) if !transaction.has_written => aborted("nothing was written"),
             _ => Reply::Answer(answer),
@@ -275,8 +282,8 @@
     Reply::error(ErrorClass::Aborted, text)
 }
 
-/// Whether a first statement that brought this reply may be run elsewhere: the
-/// transaction is rolled back, and its commit was not asked for.
+/// Whether a transaction whose first statement got this reply may be begun on
+/// another member: it is rolled back, and no commit was requested.
 fn is_repeatable(reply: &Reply) -> bool {
     match reply {
         Reply::Answer(answer) => answer.error.is_some_and(is_not_run),
--- a/src/relay/session/wait.rs
+++ b/src/relay/session/wait.rs
@@ -1,4 +1,4 @@
-//! What a session waits for: messages, and the times at which it must end.
+//! Waiting for messages, and for the deadlines of a session and its transaction.
 
 use futures::future::{Either, select};
 
@@ -9,17 +9,16 @@
     Message(CallerMessage),
     Broken(RelayError),
     Closed,
-    /// The VM stops, or the transaction was idle for too long.
-    Due,
+    /// The VM is stopping, or the transaction was idle for too long.
+    Deadline,
 }
 
 impl Session<'_> {
-    /// Waits for a message, or for the time at which the session or its
-    /// transaction must end.
+    /// Waits for a message, or until the session or its transaction must end.
     pub(super) async fn wait(
         &self,
         messages: &flume::Receiver<Result<CallerMessage>>,
-        end_spread_ms: u64,
+        stop_delay_ms: u64,
     ) -> Wake {
         let wake =
             |received: std::result::Result<Result<CallerMessage>, flume::RecvError>| match received
@@ -31,30 +30,32 @@
         let mut stopping = self.shared.stopping.clone();
         loop {
             let stop_ms = *stopping.borrow_and_update();
-            let due_ms = self.due_ms(stop_ms, end_spread_ms);
+            let deadline_ms = self.deadline_ms(stop_ms, stop_delay_ms);
             let receive = std::pin::pin!(messages.recv_async());
             let changed = std::pin::pin!(stopping.changed());
-            let Some(due_ms) = due_ms else {
+            let Some(deadline_ms) = deadline_ms else {
                 match select(receive, changed).await {
                     Either::Left((received, _)) => return wake(received),
                     Either::Right(_) => continue,
                 }
             };
-            let left_ms = due_ms.saturating_sub(clock::boot_ms());
-            let left = std::pin::pin!(compio::time::sleep(Duration::from_millis(left_ms)));
-            let timer = select(changed, left);
+            let left_ms = deadline_ms.saturating_sub(clock::boot_ms());
+            let deadline = std::pin::pin!(compio::time::sleep(Duration::from_millis(left_ms)));
+            let timer = select(changed, deadline);
             match select(receive, timer).await {
                 Either::Left((received, _)) => return wake(received),
                 Either::Right((Either::Left(_), _)) => continue,
-                Either::Right((Either::Right(_), _)) => return Wake::Due,
+                Either::Right((Either::Right(_), _)) => return Wake::Deadline,
             }
         }
     }
 
-    /// Time at which the session or its transaction must end, in milliseconds.
-    fn due_ms(&self, stop_ms: Option<u64>, end_spread_ms: u64) -> Option<u64> {
-        let open = self.transaction.as_ref().filter(|t| t.link.is_some());
-        let idle_ms = open.map(|_| clock::boot_ms() + self.shared.transaction_idle_ms());
+    /// Time at which the session or its transaction must end. While the VM stops,
+    /// a transaction may use half of the grace period.
+    fn deadline_ms(&self, stop_ms: Option<u64>, stop_delay_ms: u64) -> Option<u64> {
+        let open_transaction = self.transaction.as_ref().filter(|t| t.link.is_some());
+        let idle_ms =
+            open_transaction.map(|_| clock::boot_ms() + self.shared.transaction_idle_ms());
         let Some(stop_ms) = stop_ms else {
             return idle_ms;
         };
@@ -62,17 +63,17 @@
             let half_ms = stop_ms + self.shared.options.grace_ms / 2;
             return Some(idle_ms.map_or(half_ms, |idle_ms| idle_ms.min(half_ms)));
         }
-        Some(stop_ms + STOP_LINGER_MS + end_spread_ms)
+        Some(stop_ms + STOP_LINGER_MS + stop_delay_ms)
     }
 
-    /// Ends what is due; `true` if that is the session.
-    pub(super) fn end_due(&mut self) -> bool {
+    /// Ends the session or its idle transaction; `true` if it is the session.
+    pub(super) fn handle_deadline(&mut self) -> bool {
         if self.shared.stopping.borrow().is_some() {
             return true;
         }
         if let Some(transaction) = &mut self.transaction {
-            decision!("transaction", database = &*self.database; "idle for too long: ended");
-            // The member rolls back when its connection closes.
+            decision!("transaction", database = &*self.database; "idle transaction ended");
+            // The member rolls the transaction back when the connection closes.
             transaction.link = None;
             transaction.is_failed = true;
         }
--- a/src/relay/transaction.rs
+++ b/src/relay/transaction.rs
@@ -1,30 +1,30 @@
-//! A transaction of a caller.
+//! The state of a caller's transaction.
 
 use super::{Route, connection::Connection};
 use crate::prelude::*;
 
-/// A transaction of a caller. It takes a connection with its first statement.
+/// A caller's transaction. It gets a connection with its first statement.
 pub struct Transaction {
-    /// Time its first byte came, in microseconds.
+    /// Arrival time of the statement that began it.
     pub began_us: u64,
     /// Whether it may only read.
     pub is_read_only: bool,
     /// Route in force when it began.
     pub route: Arc<Route>,
-    /// Its connection.
+    /// Its connection, from the first statement until its end.
     pub link: Option<Connection>,
-    /// Term that the member led when the connection was granted.
+    /// Term that the member led when the connection was granted; `None` for a replica.
     pub led_term: Option<u64>,
-    /// Whether a statement that writes was sent.
+    /// Whether a write was sent to the member.
     pub has_written: bool,
-    /// Whether it was proved that the member led when the transaction began.
-    pub is_proved: bool,
-    /// Whether it failed and waits for its end.
+    /// Whether it is confirmed that the member led when the transaction began.
+    pub is_leader_confirmed: bool,
+    /// Whether it failed and waits for a rollback or commit of the caller.
     pub is_failed: bool,
 }
 
 impl Transaction {
-    /// Begins a transaction.
+    /// Creates a transaction that has no connection yet.
     pub fn new(route: Arc<Route>, is_read_only: bool, began_us: u64) -> Transaction {
         Transaction {
             began_us,
@@ -33,7 +33,7 @@
             link: None,
             led_term: None,
             has_written: false,
-            is_proved: false,
+            is_leader_confirmed: false,
             is_failed: false,
         }
     }
