--- a/src/relay/forward/session.rs
+++ b/src/relay/forward/session.rs
@@ -307,8 +307,8 @@
         };
         self.shared
             .send(&self.service, ServiceMessage::Acquire(acquire));
-        let lost = refused(ErrorClass::WrongMember, "the service is not served");
-        let link = granted.await.unwrap_or(Err(lost))?.connection;
+        let unserved = refused(ErrorClass::WrongMember, "the service is not served");
+        let link = granted.await.unwrap_or(Err(unserved))?.connection;
         if self.messages.is_disconnected() {
             self.release(link, false, None);
             return Err(refused(ErrorClass::Busy, "the VM that asked has gone"));
--- a/src/relay/session/attempt.rs
+++ b/src/relay/session/attempt.rs
@@ -80,12 +80,12 @@
             reply,
         };
         self.send(&route.service, ServiceMessage::Acquire(acquire));
-        let lost = Refused {
+        let unserved = Refused {
             class: ErrorClass::Busy,
             text: "the service is not served",
             retry_after_ms: 0,
         };
-        granted.await.unwrap_or(Err(lost))
+        granted.await.unwrap_or(Err(unserved))
     }
 
     /// Waits for an attempt, and reports the member as suspect when it is late.
--- a/tests/exchange.rs
+++ b/tests/exchange.rs
@@ -1,4 +1,6 @@
-//! A request on a connection to a holder that stops: it was not run there.
+//! Guards against a false report that a write may have run: a slot holder that
+//! is stopping refuses the request, before or after its answer to the preamble,
+//! without running it.
 
 use std::{
     io::{Read, Write},
@@ -23,15 +25,15 @@
     },
 };
 
-/// Messages that a holder answers before it says that it stops.
+/// What the holder answers before it refuses the request.
 #[derive(Clone, Copy)]
-enum Before {
+enum AnsweredFirst {
     Nothing,
     Preamble,
 }
 
-/// Starts a holder that reads a request and says that it is stopping.
-fn start_holder(before: Before) -> SocketAddr {
+/// Starts a holder that reads a request and refuses it because it is stopping.
+fn start_holder(answered_first: AnsweredFirst) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     std::thread::spawn(move || {
@@ -39,7 +41,7 @@
         let mut request = [0; 512];
         assert!(stream.read(&mut request).unwrap() > 0);
         let mut answer = BytesMut::new();
-        if let Before::Preamble = before {
+        if let AnsweredFirst::Preamble = answered_first {
             message::put_ready(&mut answer);
         }
         let refusal = Refusal::new(Code::Stopping, "this VM is stopping");
@@ -84,11 +86,11 @@
 }
 
 #[yare::parameterized(
-    instead_of_any_answer = { Before::Nothing },
-    after_the_preamble = { Before::Preamble },
+    instead_of_any_answer = { AnsweredFirst::Nothing },
+    after_the_preamble = { AnsweredFirst::Preamble },
 )]
-fn write_that_meets_a_stop_was_not_run(before: Before) {
-    let address = start_holder(before);
+fn write_to_a_stopping_holder_is_reported_as_not_run(answered_first: AnsweredFirst) {
+    let address = start_holder(answered_first);
     compio::runtime::Runtime::new().unwrap().block_on(async {
         let mut connection = connect_to(address).await;
         let mut caller = caller_wire().await;
