--- a/src/relay/codec.rs
+++ b/src/relay/codec.rs
@@ -60,7 +60,7 @@
     },
     /// Rolls the transaction back.
     Rollback,
-    /// Sets a value of the session.
+    /// Sets a session variable.
     Set {
         /// Name.
         name: &'a [u8],
@@ -74,7 +74,7 @@
         /// The statement.
         prepared_statement: &'a PreparedStatement,
     },
-    /// Clears the session's values and prepared statements.
+    /// Clears the session's variables and prepared statements.
     Reset,
     /// Requests the member's report.
     Status,
@@ -132,7 +132,7 @@
         /// Id of the member.
         member: Name,
     },
-    /// Sets a value of the session.
+    /// Sets a session variable.
     Set {
         /// Name.
         name: Bytes,
@@ -141,7 +141,7 @@
     },
     /// Prepares a statement.
     Prepare(PreparedStatement),
-    /// Clears the session's values and prepared statements.
+    /// Clears the session's variables and prepared statements.
     Reset,
     /// Requests the member's report.
     Status,
--- a/src/relay/exchange.rs
+++ b/src/relay/exchange.rs
@@ -9,14 +9,14 @@
 };
 use crate::prelude::*;
 
-/// Writes the requests that bring a connection to the session values of a caller
+/// Writes the requests that bring a connection to the session variables of a caller
 /// and prepare the statement to be run. Returns the number of requests, each of
 /// which is answered.
 pub fn write_session_setup(
     output: &mut BytesMut,
     codec: &MemberCodec,
-    link: &mut Connection,
-    values: &SessionVariables,
+    connection: &mut Connection,
+    variables: &SessionVariables,
     prepared_statement: Option<&PreparedStatement>,
 ) -> usize {
     let mut requests = 0;
@@ -24,19 +24,19 @@
         (codec.encode)(output, request);
         requests += 1;
     };
-    if link.needs_reset(values) {
+    if connection.needs_reset(variables) {
         write(&MemberRequest::Reset);
-        link.variables.clear();
-        link.prepared.clear();
+        connection.variables.clear();
+        connection.prepared.clear();
     }
-    for (name, value) in values {
-        if link.variables.get(name) != Some(value) {
+    for (name, value) in variables {
+        if connection.variables.get(name) != Some(value) {
             write(&MemberRequest::Set { name, value });
-            link.variables.insert(name.clone(), value.clone());
+            connection.variables.insert(name.clone(), value.clone());
         }
     }
     if let Some(prepared_statement) = prepared_statement
-        && link.prepared.insert(prepared_statement.name.clone())
+        && connection.prepared.insert(prepared_statement.name.clone())
     {
         write(&MemberRequest::Prepare {
             name: &prepared_statement.name,
@@ -53,12 +53,12 @@
 /// Returns an error when the connection fails or an answer is an error. The state
 /// of the member's session is then unknown.
 pub async fn expect_success(
-    link: &mut Connection,
+    connection: &mut Connection,
     codec: &MemberCodec,
     count: usize,
 ) -> Result<()> {
     for _ in 0..count {
-        let answer = read_answer(link, codec).await?;
+        let answer = read_answer(connection, codec).await?;
         if let Some(class) = answer.error {
             return Err(RelayError::Refused { class });
         }
@@ -71,12 +71,12 @@
 /// # Errors
 ///
 /// Returns an error when the connection fails.
-pub async fn read_answer(link: &mut Connection, codec: &MemberCodec) -> Result<Answer> {
+pub async fn read_answer(connection: &mut Connection, codec: &MemberCodec) -> Result<Answer> {
     loop {
-        if let Some(answer) = (codec.decode)(&mut link.socket.input)? {
+        if let Some(answer) = (codec.decode)(&mut connection.socket.input)? {
             return Ok(answer);
         }
-        link.socket.fill().await?;
+        connection.socket.fill().await?;
     }
 }
 
@@ -86,14 +86,14 @@
 ///
 /// Returns an error when the connection fails.
 pub async fn request(
-    link: &mut Connection,
+    connection: &mut Connection,
     codec: &MemberCodec,
     request: &MemberRequest<'_>,
 ) -> Result<Answer> {
     let mut output = BytesMut::new();
     (codec.encode)(&mut output, request);
-    link.socket.write(output).await?;
-    read_answer(link, codec).await
+    connection.socket.write(output).await?;
+    read_answer(connection, codec).await
 }
 
 /// Sends a request that the member answers with a report.
@@ -102,11 +102,11 @@
 ///
 /// Returns an error when the connection fails or the member refuses.
 pub async fn request_report(
-    link: &mut Connection,
+    connection: &mut Connection,
     codec: &MemberCodec,
     report_request: &MemberRequest<'_>,
 ) -> Result<StatusReport> {
-    let answer = request(link, codec, report_request).await?;
+    let answer = request(connection, codec, report_request).await?;
     if let Some(class) = answer.error {
         return Err(RelayError::Refused { class });
     }
@@ -132,14 +132,19 @@
 
 /// Sends a statement with the session setup that it needs, and reads the answers.
 pub async fn run(
-    link: &mut Connection,
+    connection: &mut Connection,
     codec: &MemberCodec,
-    values: &SessionVariables,
+    variables: &SessionVariables,
     call: &Call<'_>,
 ) -> Result<Outcome> {
     let mut output = BytesMut::new();
-    let setup_requests =
-        write_session_setup(&mut output, codec, link, values, call.prepared_statement);
+    let setup_requests = write_session_setup(
+        &mut output,
+        codec,
+        connection,
+        variables,
+        call.prepared_statement,
+    );
     let statement = call.statement;
     match (&statement.kind, call.prepared_statement) {
         (StatementKind::Execute { arguments, .. }, Some(prepared_statement)) => (codec.encode)(
@@ -163,14 +168,14 @@
     if call.wants_report {
         (codec.encode)(&mut output, &MemberRequest::Status);
     }
-    link.socket.write(output).await?;
-    expect_success(link, codec, setup_requests).await?;
-    let answer = read_answer(link, codec).await?;
+    connection.socket.write(output).await?;
+    expect_success(connection, codec, setup_requests).await?;
+    let answer = read_answer(connection, codec).await?;
     if !call.wants_report {
         let report = None;
         return Ok(Outcome { answer, report });
     }
-    let second = read_answer(link, codec).await?;
+    let second = read_answer(connection, codec).await?;
     // A member that is too busy to report does not confirm its leadership.
     let report = (codec.report)(&second.body).ok();
     Ok(Outcome { answer, report })
@@ -178,20 +183,20 @@
 
 /// Begins a transaction on a connection, after the session setup.
 pub async fn begin(
-    link: &mut Connection,
+    connection: &mut Connection,
     codec: &MemberCodec,
-    values: &SessionVariables,
+    variables: &SessionVariables,
     after: Option<Position>,
     is_read_only: bool,
 ) -> Result<Answer> {
     let mut output = BytesMut::new();
-    let setup_requests = write_session_setup(&mut output, codec, link, values, None);
+    let setup_requests = write_session_setup(&mut output, codec, connection, variables, None);
     let request = MemberRequest::Begin {
         after,
         is_read_only,
     };
     (codec.encode)(&mut output, &request);
-    link.socket.write(output).await?;
-    expect_success(link, codec, setup_requests).await?;
-    read_answer(link, codec).await
+    connection.socket.write(output).await?;
+    expect_success(connection, codec, setup_requests).await?;
+    read_answer(connection, codec).await
 }
--- a/src/relay/forward.rs
+++ b/src/relay/forward.rs
@@ -1,7 +1,7 @@
 //! Forwards the statements of other VMs to members that they can't reach.
 //!
 //! Another VM opens a connection here as it would open one to the member. This
-//! VM keeps the session values and prepared statements of that connection, and
+//! VM keeps the session variables and prepared statements of that connection, and
 //! runs each statement or transaction on one of its own pooled connections to
 //! the member.
 
--- a/src/relay/forward/session.rs
+++ b/src/relay/forward/session.rs
@@ -31,10 +31,10 @@
     member: Name,
     /// Messages of the VM; disconnected once the VM has closed the connection.
     messages: flume::Receiver<Result<ForwardMessage>>,
-    values: Rc<SessionVariables>,
+    variables: Rc<SessionVariables>,
     prepared: BTreeMap<Name, PreparedStatement>,
     /// Connection to the member while a transaction is open.
-    link: Option<Connection>,
+    connection: Option<Connection>,
 }
 
 impl ForwardSession {
@@ -50,9 +50,9 @@
             service,
             member,
             messages,
-            values: Rc::default(),
+            variables: Rc::default(),
             prepared: BTreeMap::new(),
-            link: None,
+            connection: None,
         }
     }
 
@@ -76,7 +76,7 @@
                 return self.run(&statement, (after, wants_report), output).await;
             }
             ForwardMessage::Set { name, value } => {
-                Rc::make_mut(&mut self.values).insert(name, value);
+                Rc::make_mut(&mut self.variables).insert(name, value);
                 self.write_complete(output);
             }
             ForwardMessage::Prepare(prepared_statement) => {
@@ -85,14 +85,14 @@
                 self.write_complete(output);
             }
             ForwardMessage::Reset => {
-                self.values = Rc::default();
+                self.variables = Rc::default();
                 self.prepared.clear();
                 self.write_complete(output);
             }
             ForwardMessage::Status => return Ok(self.report(output).await),
             ForwardMessage::Rollback => {
-                if let Some(link) = self.link.take() {
-                    self.release(link, true, None);
+                if let Some(connection) = self.connection.take() {
+                    self.release(connection, true, None);
                 }
                 self.write_complete(output);
             }
@@ -106,14 +106,14 @@
 
     /// Releases the member's connection, after the end of this one.
     pub fn finish(&mut self) {
-        if let Some(link) = self.link.take() {
-            self.release(link, true, None);
+        if let Some(connection) = self.connection.take() {
+            self.release(connection, true, None);
         }
     }
 
     /// Whether a transaction is open.
     pub fn is_in_transaction(&self) -> bool {
-        self.link.is_some()
+        self.connection.is_some()
     }
 
     fn write_complete(&self, output: &mut BytesMut) {
@@ -123,7 +123,7 @@
     }
 
     fn state(&self) -> SessionState {
-        match self.link {
+        match self.connection {
             Some(_) => SessionState::Transaction,
             None => SessionState::Idle,
         }
@@ -168,17 +168,24 @@
         is_read_only: bool,
         output: &mut BytesMut,
     ) -> Result<()> {
-        let mut link = match self.acquire(b"-", true).await {
-            Ok(link) => link,
+        let mut connection = match self.acquire(b"-", true).await {
+            Ok(connection) => connection,
             Err(refusal) => {
                 self.write_refusal(&refusal, output);
                 return Ok(());
             }
         };
         let codec = self.shared.options.codecs.member;
-        let begun = begin(&mut link, &codec, &self.values, after, is_read_only).await;
+        let begun = begin(
+            &mut connection,
+            &codec,
+            &self.variables,
+            after,
+            is_read_only,
+        )
+        .await;
         let answer = begun.inspect_err(|_| self.suspect())?;
-        self.forward_answer(link, &answer, None, output);
+        self.forward_answer(connection, &answer, None, output);
         Ok(())
     }
 
@@ -202,11 +209,11 @@
             }
             _ => None,
         };
-        let is_autocommit = self.link.is_none();
-        let mut link = match self.link.take() {
-            Some(link) => link,
+        let is_autocommit = self.connection.is_none();
+        let mut connection = match self.connection.take() {
+            Some(connection) => connection,
             None => match self.acquire(&statement.id, false).await {
-                Ok(link) => link,
+                Ok(connection) => connection,
                 Err(refusal) => {
                     self.write_refusal(&refusal, output);
                     return self.report_if_wanted(wants_report, output).await;
@@ -221,7 +228,7 @@
         };
         let sent_us = clock::boot_us();
         let codec = self.shared.options.codecs.member;
-        let ran = run(&mut link, &codec, &self.values, &call).await;
+        let ran = run(&mut connection, &codec, &self.variables, &call).await;
         let Outcome { answer, report } = ran.inspect_err(|_| self.suspect())?;
         let took_us = clock::boot_us() - sent_us;
         decision!(
@@ -229,7 +236,12 @@
             service = &*self.service, member = &*self.member, took_ms = took_us / 1_000,
             outcome = answer.error.map_or("done", Into::into); "statement forwarded"
         );
-        self.forward_answer(link, &answer, is_autocommit.then_some(took_us), output);
+        self.forward_answer(
+            connection,
+            &answer,
+            is_autocommit.then_some(took_us),
+            output,
+        );
         match report {
             Some(report) => self.write_report(&report, output),
             None if wants_report => {
@@ -260,7 +272,7 @@
     /// transaction is open.
     fn forward_answer(
         &mut self,
-        link: Connection,
+        connection: Connection,
         answer: &Answer,
         read_us: Option<u64>,
         output: &mut BytesMut,
@@ -276,8 +288,8 @@
                 .report_refusal(&self.service, &self.member, class);
         }
         match answer.state {
-            SessionState::Idle => self.release(link, false, read_us),
-            _ => self.link = Some(link),
+            SessionState::Idle => self.release(connection, false, read_us),
+            _ => self.connection = Some(connection),
         }
     }
 
@@ -302,18 +314,18 @@
             priority: PRIORITY,
             is_transaction,
             avoid: BTreeSet::new(),
-            variables: self.values.clone(),
+            variables: self.variables.clone(),
             reply,
         };
         self.shared
             .send(&self.service, ServiceMessage::Acquire(acquire));
         let unserved = refused(ErrorClass::WrongMember, "the service is not served");
-        let link = granted.await.unwrap_or(Err(unserved))?.connection;
+        let connection = granted.await.unwrap_or(Err(unserved))?.connection;
         if self.messages.is_disconnected() {
-            self.release(link, false, None);
+            self.release(connection, false, None);
             return Err(refused(ErrorClass::Busy, "the VM that asked has gone"));
         }
-        Ok(link)
+        Ok(connection)
     }
 
     fn write_refusal(&self, refusal: &Refused, output: &mut BytesMut) {
@@ -333,9 +345,9 @@
         (codec.ready)(output, self.state(), None);
     }
 
-    fn release(&self, link: Connection, needs_rollback: bool, read_us: Option<u64>) {
+    fn release(&self, connection: Connection, needs_rollback: bool, read_us: Option<u64>) {
         let message = ServiceMessage::Release {
-            connection: link,
+            connection,
             needs_rollback,
             read_us,
         };
--- a/src/relay/handle.rs
+++ b/src/relay/handle.rs
@@ -33,10 +33,10 @@
     /// Metrics.
     pub metrics: Metrics,
     /// Configuration in force.
-    pub catalog: RefCell<Option<Arc<RelayConfig>>>,
+    pub config: RefCell<Option<Arc<RelayConfig>>>,
     /// Mailboxes of the services.
     services: RefCell<BTreeMap<Name, flume::Sender<ServiceMessage>>>,
-    roster: RefCell<MemberList>,
+    member_list: RefCell<MemberList>,
     /// Number of connected callers.
     pub sessions: Cell<usize>,
     /// Time at which the VM began to stop; `None` while it serves.
@@ -46,8 +46,8 @@
 impl Shared {
     /// Route to a database, in the configuration in force.
     pub fn route(&self, database: &Name) -> Option<Arc<Route>> {
-        let catalog = self.catalog.borrow();
-        catalog.as_ref()?.routes.get(database).cloned()
+        let config = self.config.borrow();
+        config.as_ref()?.routes.get(database).cloned()
     }
 
     /// Mailbox of a service's task.
@@ -81,16 +81,16 @@
 
     /// Time after which an idle transaction is ended.
     pub fn transaction_idle_ms(&self) -> u64 {
-        let catalog = self.catalog.borrow();
-        let limits = catalog.as_ref().map(|c| c.limits);
+        let config = self.config.borrow();
+        let limits = config.as_ref().map(|c| c.limits);
         limits.map_or(UNCONFIGURED_IDLE_MS, |limits| limits.transaction_idle_ms)
     }
 
     /// Number of replicas that must receive a commit before it is acknowledged.
     pub fn sync_replicas(&self, service: &Name) -> u32 {
-        let catalog = self.catalog.borrow();
-        let entry = catalog.as_ref().and_then(|c| c.services.get(service));
-        entry.map_or(0, |entry| entry.sync_replicas)
+        let config = self.config.borrow();
+        let service_config = config.as_ref().and_then(|c| c.services.get(service));
+        service_config.map_or(0, |service_config| service_config.sync_replicas)
     }
 }
 
@@ -109,9 +109,9 @@
         let shared = Shared {
             options: Rc::new(options),
             metrics,
-            catalog: RefCell::new(None),
+            config: RefCell::new(None),
             services: RefCell::new(BTreeMap::new()),
-            roster: RefCell::new(MemberList::default()),
+            member_list: RefCell::new(MemberList::default()),
             sessions: Cell::new(0),
             stopping,
         };
@@ -130,7 +130,7 @@
     }
 
     fn update_readiness(&self) {
-        let has_members = !self.shared.roster.borrow().members.is_empty();
+        let has_members = !self.shared.member_list.borrow().members.is_empty();
         let is_stopping = self.shared.stopping.borrow().is_some();
         let is_ready = self.version().is_some() && has_members && !is_stopping;
         if self.ready.send_replace(is_ready) != is_ready {
@@ -140,35 +140,40 @@
 
     /// Version of the configuration in force.
     pub fn version(&self) -> Option<u64> {
-        self.shared.catalog.borrow().as_ref().map(|c| c.version)
+        self.shared.config.borrow().as_ref().map(|c| c.version)
     }
 
     /// Puts a configuration in force if it is newer than the current one.
-    pub fn apply(&self, catalog: RelayConfig) {
+    pub fn apply(&self, config: RelayConfig) {
         let before = self.version();
-        if before.is_some_and(|before| before >= catalog.version) {
+        if before.is_some_and(|before| before >= config.version) {
             return;
         }
         decision!(
-            "configuration", version = catalog.version, before = before.unwrap_or(0),
-            routes = catalog.routes.len(); "configuration in force"
+            "configuration", version = config.version, before = before.unwrap_or(0),
+            routes = config.routes.len(); "configuration in force"
         );
-        for (service, entry) in &catalog.services {
+        for (service, service_config) in &config.services {
             match self.shared.mailbox(service) {
                 Some(_) => {
-                    let message = ServiceMessage::Config(entry.clone());
+                    let message = ServiceMessage::Config(service_config.clone());
                     self.shared.send(service, message);
                 }
-                None => self.start_service(service, entry.clone()),
+                None => self.start_service(service, service_config.clone()),
             }
         }
-        *self.shared.catalog.borrow_mut() = Some(Arc::new(catalog));
+        *self.shared.config.borrow_mut() = Some(Arc::new(config));
         self.update_readiness();
     }
 
-    fn start_service(&self, name: &Name, entry: super::ServiceConfig) {
+    fn start_service(&self, name: &Name, service_config: super::ServiceConfig) {
         let options = self.shared.options.clone();
-        let mailbox = service::start(name.clone(), entry, options, self.shared.metrics.clone());
+        let mailbox = service::start(
+            name.clone(),
+            service_config,
+            options,
+            self.shared.metrics.clone(),
+        );
         self.shared
             .services
             .borrow_mut()
@@ -179,11 +184,11 @@
     }
 
     /// Replaces the members by those that the platform lists now.
-    pub fn update_members(&self, roster: MemberList) {
-        if *self.shared.roster.borrow() == roster {
+    pub fn update_members(&self, member_list: MemberList) {
+        if *self.shared.member_list.borrow() == member_list {
             return;
         }
-        *self.shared.roster.borrow_mut() = roster;
+        *self.shared.member_list.borrow_mut() = member_list;
         self.update_readiness();
         for service in self.services() {
             self.send_members(&service);
@@ -210,8 +215,8 @@
     }
 
     fn send_members(&self, service: &Name) {
-        let roster = self.shared.roster.borrow();
-        let members = roster.members.iter();
+        let member_list = self.shared.member_list.borrow();
+        let members = member_list.members.iter();
         let members = members.filter(|(_, m)| m.service == *service);
         let members = members.map(|(id, m)| (id.clone(), m.clone())).collect();
         self.shared
--- a/src/relay/session.rs
+++ b/src/relay/session.rs
@@ -62,7 +62,7 @@
 struct Session<'a> {
     shared: &'a Shared,
     database: Name,
-    values: Rc<SessionVariables>,
+    variables: Rc<SessionVariables>,
     prepared: BTreeMap<Bytes, Rc<PreparedStatement>>,
     transaction: Option<Transaction>,
     /// Position of the session's last acknowledged commit: the floor of its reads
@@ -142,7 +142,7 @@
     ) {
         let version = self
             .shared
-            .catalog
+            .config
             .borrow()
             .as_ref()
             .map_or(0, |c| c.version);
@@ -180,7 +180,7 @@
             ),
             StatementKind::Begin { is_read_only } => self.begin(*is_read_only, arrived_us),
             StatementKind::Set { name, value } => {
-                Rc::make_mut(&mut self.values).insert(name.clone(), value.clone());
+                Rc::make_mut(&mut self.variables).insert(name.clone(), value.clone());
                 Reply::Done
             }
             StatementKind::Prepare {
--- a/src/relay/session/attempt.rs
+++ b/src/relay/session/attempt.rs
@@ -76,7 +76,7 @@
             priority: route.priority,
             is_transaction,
             avoid,
-            variables: self.values.clone(),
+            variables: self.variables.clone(),
             reply,
         };
         self.send(&route.service, ServiceMessage::Acquire(acquire));
@@ -135,12 +135,12 @@
     pub(super) fn release(
         &self,
         service: &Name,
-        link: Connection,
+        connection: Connection,
         needs_rollback: bool,
         read_us: Option<u64>,
     ) {
         let message = ServiceMessage::Release {
-            connection: link,
+            connection,
             needs_rollback,
             read_us,
         };
--- a/src/relay/session/autocommit.rs
+++ b/src/relay/session/autocommit.rs
@@ -131,11 +131,11 @@
     ) -> Step {
         let service = &route.service;
         let Granted {
-            connection: mut link,
+            mut connection,
             after,
             ..
         } = granted;
-        let member = link.member.clone();
+        let member = connection.member.clone();
         let needs_leadership_check = route.consistency == Consistency::Primary;
         let leadership_check = needs_leadership_check
             .then(|| self.check_leadership(service, &member, autocommit.arrived_us));
@@ -149,8 +149,8 @@
         let limit_ms = (route.timeout_ms as f64 * READ_ATTEMPT_SHARE) as u64;
         let limit_ms = limit_ms.min(left_ms(route, autocommit.arrived_us)).max(1);
         let codec = &self.shared.options.codecs.member;
-        let values = self.values.clone();
-        let attempt = run(&mut link, codec, &values, &call);
+        let variables = self.variables.clone();
+        let attempt = run(&mut connection, codec, &variables, &call);
         let result = self
             .await_answer(service, &member, false, limit_ms, attempt)
             .await;
@@ -167,9 +167,9 @@
         };
         let read_us = clock::boot_us() - sent_us;
         if let Some(class) = answer.error {
-            return self.handle_read_error(route, link, answer, class);
+            return self.handle_read_error(route, connection, answer, class);
         }
-        self.release(service, link, false, Some(read_us));
+        self.release(service, connection, false, Some(read_us));
         if let Some(leadership_check) = leadership_check {
             let others_term = leadership_check.await.ok().flatten();
             let is_confirmed =
@@ -188,22 +188,27 @@
     fn handle_read_error(
         &self,
         route: &Route,
-        mut link: Connection,
+        mut connection: Connection,
         answer: Answer,
         class: ErrorClass,
     ) -> Step {
         let service = &route.service;
-        let member = link.member.clone();
+        let member = connection.member.clone();
         self.report_refusal(service, &member, class);
         if class == ErrorClass::WrongMember {
             return Step::retry_elsewhere("another member stands at the address");
         }
         if class == ErrorClass::NoStatement {
-            link.prepared.clear();
-            self.release(service, link, false, None);
+            connection.prepared.clear();
+            self.release(service, connection, false, None);
             return Step::retry("the prepared statement was lost");
         }
-        self.release(service, link, answer.state != SessionState::Idle, None);
+        self.release(
+            service,
+            connection,
+            answer.state != SessionState::Idle,
+            None,
+        );
         match class {
             ErrorClass::Failed | ErrorClass::Timeout => Step::retry_elsewhere("a read failed"),
             class if is_not_run(class) && route.consistency == Consistency::Primary => {
@@ -221,8 +226,8 @@
         granted: Granted,
     ) -> Step {
         let service = &route.service;
-        let mut link = granted.connection;
-        let member = link.member.clone();
+        let mut connection = granted.connection;
+        let member = connection.member.clone();
         let call = Call {
             statement: autocommit.statement,
             prepared_statement: autocommit.prepared_statement,
@@ -232,8 +237,8 @@
         let sent_us = clock::boot_us();
         let limit_ms = left_ms(route, autocommit.arrived_us).max(1);
         let codec = &self.shared.options.codecs.member;
-        let values = self.values.clone();
-        let attempt = run(&mut link, codec, &values, &call);
+        let variables = self.variables.clone();
+        let attempt = run(&mut connection, codec, &variables, &call);
         let result = self
             .await_answer(service, &member, true, limit_ms, attempt)
             .await;
@@ -247,16 +252,21 @@
         let Some(class) = answer.error else {
             self.record_commit(route, &answer, sent_us);
             self.position = answer.position.or(self.position);
-            self.release(service, link, false, None);
+            self.release(service, connection, false, None);
             return Step::Reply(Reply::Answer(answer));
         };
         self.report_refusal(service, &member, class);
         match class {
             ErrorClass::WrongMember => return Step::retry("another member stands at the address"),
-            ErrorClass::NoStatement => link.prepared.clear(),
+            ErrorClass::NoStatement => connection.prepared.clear(),
             _ => {}
         }
-        self.release(service, link, answer.state != SessionState::Idle, None);
+        self.release(
+            service,
+            connection,
+            answer.state != SessionState::Idle,
+            None,
+        );
         match is_not_run(class) {
             true => Step::retry("the primary did not run it"),
             false => Step::Reply(Reply::Answer(answer)),
--- a/src/relay/session/opening.rs
+++ b/src/relay/session/opening.rs
@@ -33,8 +33,8 @@
 }
 
 fn message_limit(shared: &Shared) -> usize {
-    let catalog = shared.catalog.borrow();
-    let limit = catalog.as_ref().map(|c| c.limits.message_bytes);
+    let config = shared.config.borrow();
+    let limit = config.as_ref().map(|c| c.limits.message_bytes);
     limit.unwrap_or(MESSAGE_MAX_BYTES).min(MESSAGE_MAX_BYTES)
 }
 
@@ -69,7 +69,7 @@
     let mut session = Session {
         shared,
         database,
-        values: Rc::default(),
+        variables: Rc::default(),
         prepared: BTreeMap::new(),
         transaction: None,
         floor: None,
@@ -83,7 +83,7 @@
 /// Waits for the first configuration: until then, no database is known.
 async fn await_configuration(shared: &Shared) {
     let deadline_ms = clock::boot_ms() + CONFIGURATION_WAIT_MS;
-    while shared.catalog.borrow().is_none() && clock::boot_ms() < deadline_ms {
+    while shared.config.borrow().is_none() && clock::boot_ms() < deadline_ms {
         compio::time::sleep(CONFIGURATION_POLL).await;
     }
 }
--- a/src/relay/session/transact.rs
+++ b/src/relay/session/transact.rs
@@ -33,11 +33,11 @@
         prepared_statement: Option<Rc<PreparedStatement>>,
         arrived_us: u64,
     ) -> Reply {
-        let reply = match transaction.link.take() {
-            Some(link) => {
+        let reply = match transaction.connection.take() {
+            Some(connection) => {
                 self.run_pinned(
                     &mut transaction,
-                    link,
+                    connection,
                     statement,
                     prepared_statement,
                     arrived_us,
@@ -50,7 +50,7 @@
             }
         };
         // A member rolls the transaction back when its connection is lost.
-        transaction.is_failed |= transaction.link.is_none();
+        transaction.is_failed |= transaction.connection.is_none();
         self.transaction = Some(transaction);
         reply
     }
@@ -74,20 +74,20 @@
             let reason = match begun {
                 BeginOutcome::Refused(reply) => return reply,
                 BeginOutcome::Retry(reason) => reason,
-                BeginOutcome::Begun(link, led_term) => {
-                    let member = link.member.clone();
+                BeginOutcome::Begun(connection, led_term) => {
+                    let member = connection.member.clone();
                     transaction.led_term = led_term;
                     transaction.has_written = false;
                     let reply = self
                         .run_pinned(
                             transaction,
-                            link,
+                            connection,
                             statement,
                             prepared_statement.clone(),
                             arrived_us,
                         )
                         .await;
-                    if transaction.link.is_some() || !is_repeatable(&reply) {
+                    if transaction.connection.is_some() || !is_repeatable(&reply) {
                         return reply;
                     }
                     avoid.insert(member);
@@ -124,17 +124,17 @@
             .acquire(route, statement, (purpose, true), avoid.clone(), arrived_us)
             .await;
         let Granted {
-            connection: mut link,
+            mut connection,
             after,
             led_term,
         } = match granted {
             Ok(granted) => granted,
             Err(refusal) => return BeginOutcome::Refused(refusal_reply(refusal)),
         };
-        let member = link.member.clone();
+        let member = connection.member.clone();
         let codec = &self.shared.options.codecs.member;
-        let values = self.values.clone();
-        let attempt = begin(&mut link, codec, &values, after, is_read_only);
+        let variables = self.variables.clone();
+        let attempt = begin(&mut connection, codec, &variables, after, is_read_only);
         let limit_ms = left_ms(route, arrived_us).max(1);
         let result = self
             .await_answer(&route.service, &member, false, limit_ms, attempt)
@@ -147,10 +147,10 @@
             }
         };
         let Some(class) = answer.error else {
-            return BeginOutcome::Begun(link, led_term);
+            return BeginOutcome::Begun(connection, led_term);
         };
         self.report_refusal(&route.service, &member, class);
-        self.release(&route.service, link, true, None);
+        self.release(&route.service, connection, true, None);
         BeginOutcome::Retry("the member did not begin")
     }
 
@@ -158,14 +158,14 @@
     async fn run_pinned(
         &mut self,
         transaction: &mut Transaction,
-        mut link: Connection,
+        mut connection: Connection,
         statement: &Statement,
         prepared_statement: Option<Rc<PreparedStatement>>,
         arrived_us: u64,
     ) -> Reply {
         let route = transaction.route.clone();
         let service = &route.service;
-        let member = link.member.clone();
+        let member = connection.member.clone();
         let writes = is_write(statement, prepared_statement.as_deref());
         let needs_leadership_check = !writes
             && !transaction.is_leader_confirmed
@@ -181,8 +181,8 @@
         };
         let limit_ms = left_ms(&route, arrived_us).max(1);
         let codec = &self.shared.options.codecs.member;
-        let values = self.values.clone();
-        let attempt = run(&mut link, codec, &values, &call);
+        let variables = self.variables.clone();
+        let attempt = run(&mut connection, codec, &variables, &call);
         let result = self
             .await_answer(service, &member, false, limit_ms, attempt)
             .await;
@@ -196,7 +196,7 @@
         self.position = answer.position.or(self.position);
         if let Some(class) = answer.error {
             self.report_refusal(service, &member, class);
-            self.release(service, link, true, None);
+            self.release(service, connection, true, None);
             return match class {
                 ErrorClass::Failed | ErrorClass::Timeout => {
                     aborted("a statement failed; the transaction is rolled back")
@@ -208,12 +208,12 @@
             let others_term = leadership_check.await.ok().flatten();
             let is_confirmed = others_term.is_some_and(|term| Some(term) <= transaction.led_term);
             if !is_confirmed {
-                self.release(service, link, true, None);
+                self.release(service, connection, true, None);
                 return aborted("the primary is not proved to lead");
             }
             transaction.is_leader_confirmed = true;
         }
-        transaction.link = Some(link);
+        transaction.connection = Some(connection);
         Reply::Answer(answer)
     }
 
@@ -221,8 +221,8 @@
         let Some(mut transaction) = self.transaction.take() else {
             return Reply::error(ErrorClass::Malformed, "no transaction is open");
         };
-        if let Some(link) = transaction.link.take() {
-            self.release(&transaction.route.service, link, true, None);
+        if let Some(connection) = transaction.connection.take() {
+            self.release(&transaction.route.service, connection, true, None);
         }
         Reply::Done
     }
@@ -231,13 +231,13 @@
         let Some(mut transaction) = self.transaction.take() else {
             return Reply::error(ErrorClass::Malformed, "no transaction is open");
         };
-        let Some(mut link) = transaction.link.take() else {
+        let Some(mut connection) = transaction.connection.take() else {
             // It failed, or has run nothing that a member could commit.
             return aborted("nothing was run; the transaction is rolled back");
         };
         let route = transaction.route.clone();
         let service = &route.service;
-        let member = link.member.clone();
+        let member = connection.member.clone();
         let sent_us = clock::boot_us();
         let call = Call {
             statement,
@@ -246,8 +246,8 @@
             wants_report: false,
         };
         let codec = &self.shared.options.codecs.member;
-        let values = link.variables.clone();
-        let attempt = run(&mut link, codec, &values, &call);
+        let variables = connection.variables.clone();
+        let attempt = run(&mut connection, codec, &variables, &call);
         let is_commit = transaction.has_written;
         let limit_ms = route.timeout_ms;
         let result = self
@@ -270,7 +270,12 @@
         if let Some(class) = answer.error {
             self.report_refusal(service, &member, class);
         }
-        self.release(service, link, answer.state != SessionState::Idle, None);
+        self.release(
+            service,
+            connection,
+            answer.state != SessionState::Idle,
+            None,
+        );
         match answer.error {
             Some(_) if !transaction.has_written => aborted("nothing was written"),
             _ => Reply::Answer(answer),
--- a/src/relay/session/wait.rs
+++ b/src/relay/session/wait.rs
@@ -53,7 +53,7 @@
     /// Time at which the session or its transaction must end. While the VM stops,
     /// a transaction may use half of the grace period.
     fn deadline_ms(&self, stop_ms: Option<u64>, stop_delay_ms: u64) -> Option<u64> {
-        let open_transaction = self.transaction.as_ref().filter(|t| t.link.is_some());
+        let open_transaction = self.transaction.as_ref().filter(|t| t.connection.is_some());
         let idle_ms =
             open_transaction.map(|_| clock::boot_ms() + self.shared.transaction_idle_ms());
         let Some(stop_ms) = stop_ms else {
@@ -74,7 +74,7 @@
         if let Some(transaction) = &mut self.transaction {
             decision!("transaction", database = &*self.database; "idle transaction ended");
             // The member rolls the transaction back when the connection closes.
-            transaction.link = None;
+            transaction.connection = None;
             transaction.is_failed = true;
         }
         false
--- a/src/relay/statement.rs
+++ b/src/relay/statement.rs
@@ -29,7 +29,7 @@
     Read,
     /// Writes.
     Write,
-    /// Sets a value of the session.
+    /// Sets a session variable.
     Set {
         /// Name.
         name: Bytes,
--- a/src/relay/transaction.rs
+++ b/src/relay/transaction.rs
@@ -12,7 +12,7 @@
     /// Route in force when it began.
     pub route: Arc<Route>,
     /// Its connection, from the first statement until its end.
-    pub link: Option<Connection>,
+    pub connection: Option<Connection>,
     /// Term that the member led when the connection was granted; `None` for a replica.
     pub led_term: Option<u64>,
     /// Whether a write was sent to the member.
@@ -30,7 +30,7 @@
             began_us,
             is_read_only,
             route,
-            link: None,
+            connection: None,
             led_term: None,
             has_written: false,
             is_leader_confirmed: false,
