--- a/src/relay/exchange.rs
+++ b/src/relay/exchange.rs
@@ -9,9 +9,9 @@
 };
 use crate::prelude::*;
 
-/// Writes the requests that bring a connection to the session variables of a caller
-/// and prepare the statement to be run. Returns the number of requests, each of
-/// which is answered.
+/// Writes the requests that set a caller's session variables on a connection and
+/// prepare the statement to be run. Returns the number of requests, each of which
+/// is answered.
 pub fn write_session_setup(
     output: &mut BytesMut,
     codec: &MemberCodec,
--- a/src/relay/handle.rs
+++ b/src/relay/handle.rs
@@ -39,7 +39,7 @@
     member_list: RefCell<MemberList>,
     /// Number of connected callers.
     pub sessions: Cell<usize>,
-    /// Time at which the VM began to stop; `None` while it serves.
+    /// Time at which the VM began to stop, in milliseconds; `None` while it serves.
     pub stopping: watch::Receiver<Option<u64>>,
 }
 
--- a/src/relay/session/autocommit.rs
+++ b/src/relay/session/autocommit.rs
@@ -280,7 +280,7 @@
     deadline_ms.saturating_sub(clock::boot_ms())
 }
 
-/// Reply to a statement that ran out of time without a write that may have taken effect.
+/// Reply to a statement that timed out and was not run, or only read.
 pub(super) fn timed_out(reason: &str) -> Reply {
     let text = format!("{reason}; retry after {RETRY_MS} ms");
     Reply::Error(ErrorClass::Busy, text)
