--- a/src/relay/exchange.rs
+++ b/src/relay/exchange.rs
@@ -1,4 +1,4 @@
-//! Requests and answers on a connection.
+//! Requests and answers on a connection to a member.
 
 use bytes::BytesMut;
 
@@ -9,51 +9,56 @@
 };
 use crate::prelude::*;
 
-/// Writes what gives a connection the session values of a caller and the
-/// prepared statement it is about to run. Returns how many answers that adds.
-pub fn put_session(
+/// Writes the requests that set a caller's session variables on a connection and
+/// prepare the statement to be run. Returns the number of requests, each of which
+/// is answered.
+pub fn write_session_setup(
     output: &mut BytesMut,
     codec: &MemberCodec,
-    link: &mut Connection,
-    values: &SessionVariables,
+    connection: &mut Connection,
+    variables: &SessionVariables,
     prepared_statement: Option<&PreparedStatement>,
 ) -> usize {
-    let mut answers = 0;
-    let mut put = |request: &MemberRequest<'_>| {
+    let mut requests = 0;
+    let mut write = |request: &MemberRequest<'_>| {
         (codec.encode)(output, request);
-        answers += 1;
+        requests += 1;
     };
-    if link.needs_reset(values) {
-        put(&MemberRequest::Reset);
-        link.variables.clear();
-        link.prepared.clear();
+    if connection.needs_reset(variables) {
+        write(&MemberRequest::Reset);
+        connection.variables.clear();
+        connection.prepared.clear();
     }
-    for (name, value) in values {
-        if link.variables.get(name) != Some(value) {
-            put(&MemberRequest::Set { name, value });
-            link.variables.insert(name.clone(), value.clone());
+    for (name, value) in variables {
+        if connection.variables.get(name) != Some(value) {
+            write(&MemberRequest::Set { name, value });
+            connection.variables.insert(name.clone(), value.clone());
         }
     }
     if let Some(prepared_statement) = prepared_statement
-        && link.prepared.insert(prepared_statement.name.clone())
+        && connection.prepared.insert(prepared_statement.name.clone())
     {
-        put(&MemberRequest::Prepare {
+        write(&MemberRequest::Prepare {
             name: &prepared_statement.name,
             prepared_statement,
         });
     }
-    answers
+    requests
 }
 
-/// Reads answers that must not be errors.
+/// Reads the answers to session setup requests, which must not be errors.
 ///
 /// # Errors
 ///
-/// Returns an error when the connection breaks or one of them is an error: the
-/// connection's session is then not known.
-pub async fn skip_answers(link: &mut Connection, codec: &MemberCodec, count: usize) -> Result<()> {
+/// Returns an error when the connection fails or an answer is an error. The state
+/// of the member's session is then unknown.
+pub async fn expect_success(
+    connection: &mut Connection,
+    codec: &MemberCodec,
+    count: usize,
+) -> Result<()> {
     for _ in 0..count {
-        let answer = read_answer(link, codec).await?;
+        let answer = read_answer(connection, codec).await?;
         if let Some(class) = answer.error {
             return Err(RelayError::Refused { class });
         }
@@ -65,13 +70,13 @@
 ///
 /// # Errors
 ///
-/// Returns an error when the connection breaks.
-pub async fn read_answer(link: &mut Connection, codec: &MemberCodec) -> Result<Answer> {
+/// Returns an error when the connection fails.
+pub async fn read_answer(connection: &mut Connection, codec: &MemberCodec) -> Result<Answer> {
     loop {
-        if let Some(answer) = (codec.decode)(&mut link.socket.input)? {
+        if let Some(answer) = (codec.decode)(&mut connection.socket.input)? {
             return Ok(answer);
         }
-        link.socket.fill().await?;
+        connection.socket.fill().await?;
     }
 }
 
@@ -79,59 +84,67 @@
 ///
 /// # Errors
 ///
-/// Returns an error when the connection breaks.
+/// Returns an error when the connection fails.
 pub async fn request(
-    link: &mut Connection,
+    connection: &mut Connection,
     codec: &MemberCodec,
     request: &MemberRequest<'_>,
 ) -> Result<Answer> {
     let mut output = BytesMut::new();
     (codec.encode)(&mut output, request);
-    link.socket.write(output).await?;
-    read_answer(link, codec).await
+    connection.socket.write(output).await?;
+    read_answer(connection, codec).await
 }
 
-/// Sends a request that is answered by a report.
+/// Sends a request that the member answers with a report.
 ///
 /// # Errors
 ///
-/// Returns an error when the connection breaks or the member refuses.
+/// Returns an error when the connection fails or the member refuses.
 pub async fn request_report(
-    link: &mut Connection,
+    connection: &mut Connection,
     codec: &MemberCodec,
-    order: &MemberRequest<'_>,
+    report_request: &MemberRequest<'_>,
 ) -> Result<StatusReport> {
-    let answer = request(link, codec, order).await?;
+    let answer = request(connection, codec, report_request).await?;
     if let Some(class) = answer.error {
         return Err(RelayError::Refused { class });
     }
     (codec.report)(&answer.body)
 }
 
-/// A statement on its way to a member.
+/// A statement to be run on a member.
 pub struct Call<'a> {
     pub statement: &'a Statement,
     pub prepared_statement: Option<&'a PreparedStatement>,
+    /// Position that the member's log must have reached.
     pub after: Option<Position>,
-    /// Whether the member is asked for a report right after it.
+    /// Whether to request a report right after the statement.
     pub wants_report: bool,
 }
 
-/// What an attempt brought.
+/// A member's answers to a call.
 pub struct Outcome {
     pub answer: Answer,
+    /// Report, if one was requested and the member was not too busy to give it.
     pub report: Option<StatusReport>,
 }
 
-/// Sends a statement with what it needs of the session, and reads the answer.
+/// Sends a statement with the session setup that it needs, and reads the answers.
 pub async fn run(
-    link: &mut Connection,
+    connection: &mut Connection,
     codec: &MemberCodec,
-    values: &SessionVariables,
+    variables: &SessionVariables,
     call: &Call<'_>,
 ) -> Result<Outcome> {
     let mut output = BytesMut::new();
-    let skipped = put_session(&mut output, codec, link, values, call.prepared_statement);
+    let setup_requests = write_session_setup(
+        &mut output,
+        codec,
+        connection,
+        variables,
+        call.prepared_statement,
+    );
     let statement = call.statement;
     match (&statement.kind, call.prepared_statement) {
         (StatementKind::Execute { arguments, .. }, Some(prepared_statement)) => (codec.encode)(
@@ -155,35 +168,35 @@
     if call.wants_report {
         (codec.encode)(&mut output, &MemberRequest::Status);
     }
-    link.socket.write(output).await?;
-    skip_answers(link, codec, skipped).await?;
-    let answer = read_answer(link, codec).await?;
+    connection.socket.write(output).await?;
+    expect_success(connection, codec, setup_requests).await?;
+    let answer = read_answer(connection, codec).await?;
     if !call.wants_report {
         let report = None;
         return Ok(Outcome { answer, report });
     }
-    let second = read_answer(link, codec).await?;
-    // A member that is too busy to report proves nothing.
+    let second = read_answer(connection, codec).await?;
+    // A member that is too busy to report does not confirm its leadership.
     let report = (codec.report)(&second.body).ok();
     Ok(Outcome { answer, report })
 }
 
-/// Begins a transaction on a connection that has the session's values.
+/// Begins a transaction on a connection, after the session setup.
 pub async fn begin(
-    link: &mut Connection,
+    connection: &mut Connection,
     codec: &MemberCodec,
-    values: &SessionVariables,
+    variables: &SessionVariables,
     after: Option<Position>,
     is_read_only: bool,
 ) -> Result<Answer> {
     let mut output = BytesMut::new();
-    let skipped = put_session(&mut output, codec, link, values, None);
+    let setup_requests = write_session_setup(&mut output, codec, connection, variables, None);
     let request = MemberRequest::Begin {
         after,
         is_read_only,
     };
     (codec.encode)(&mut output, &request);
-    link.socket.write(output).await?;
-    skip_answers(link, codec, skipped).await?;
-    read_answer(link, codec).await
+    connection.socket.write(output).await?;
+    expect_success(connection, codec, setup_requests).await?;
+    read_answer(connection, codec).await
 }
