--- a/src/relay/config.rs
+++ b/src/relay/config.rs
@@ -1,51 +1,52 @@
-//! What operators configure: routes and services.
+//! The configuration of the relay: routes, services and limits.
 
 use crate::prelude::*;
 
-/// What reads on a route must see.
+/// Commits that reads on a route must see.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Consistency {
-    /// Everything acknowledged before they came.
+    /// All that were acknowledged before the read arrived.
     Primary,
-    /// Everything acknowledged more than this time before they came.
+    /// All that were acknowledged more than `max_staleness_ms` before the read
+    /// arrived.
     Bounded {
-        /// Oldest data allowed, in milliseconds.
+        /// Greatest staleness allowed, in milliseconds.
         max_staleness_ms: u64,
     },
-    /// As bounded, and all that the session has committed.
+    /// As `Bounded`, and all of the session's own.
     ReadYourWrites {
-        /// Oldest data allowed, in milliseconds.
+        /// Greatest staleness allowed, in milliseconds.
         max_staleness_ms: u64,
     },
 }
 
-/// The way to a database.
+/// A route to a database.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
     /// Name of the route.
     pub name: Name,
     /// Service that holds the database.
     pub service: Name,
-    /// What reads must see.
+    /// Commits that reads must see.
     pub consistency: Consistency,
     /// Longest time of a single statement, in milliseconds.
     pub timeout_ms: u64,
-    /// Time within which callers hope for the whole operation, in milliseconds.
+    /// Time in which callers expect a whole operation to be done, in milliseconds.
     pub target_latency_ms: u64,
-    /// Priority; zero goes first.
+    /// Priority of its requests; zero is the highest.
     pub priority: u32,
 }
 
-/// A service as configured.
+/// Configuration of a service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServiceConfig {
-    /// Most connections to a member, from all VMs together.
+    /// Most connections to a member from all VMs together.
     pub connections_max: usize,
     /// Replicas that must have received a commit before it is acknowledged.
     pub sync_replicas: u32,
 }
 
-/// Limits for callers.
+/// Limits on callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// Time after which an idle transaction may be ended, in milliseconds.
@@ -54,12 +55,12 @@
     pub message_bytes: usize,
 }
 
-/// A version of the configuration.
+/// A version of the relay's configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RelayConfig {
-    /// Version; it only rises.
+    /// Version; a later one has a higher number.
     pub version: u64,
-    /// Routes by the name of their database.
+    /// Routes by database name.
     pub routes: BTreeMap<Name, Arc<Route>>,
     /// Services by name.
     pub services: BTreeMap<Name, ServiceConfig>,
--- a/src/relay/member_list.rs
+++ b/src/relay/member_list.rs
@@ -1,27 +1,27 @@
-//! Members as the platform lists them.
+//! The platform's list of members.
 
 use std::net::SocketAddr;
 
 use crate::{decide::member::Role, prelude::*};
 
-/// A member as the platform lists it.
+/// An entry of the platform's member list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberEntry {
-    /// Service that it belongs to.
+    /// Service that the member belongs to.
     pub service: Name,
     /// Address.
     pub address: SocketAddr,
     /// Availability zone.
     pub zone: Name,
-    /// Whether it is leaving.
+    /// Whether it is shutting down.
     pub is_leaving: bool,
-    /// How it sees itself.
+    /// Role that it claims.
     pub role: Option<Role>,
-    /// Unix time of its start, in milliseconds: its incarnation.
+    /// Unix time of its start, in milliseconds; it tells restarts apart.
     pub started_ms: Option<u64>,
 }
 
-/// All members by id.
+/// Members of all services.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MemberList {
     /// Members by id.
--- a/src/relay/options.rs
+++ b/src/relay/options.rs
@@ -1,4 +1,4 @@
-//! What the relay needs from its surroundings.
+//! Options of the relay, and the interface through which it has members promoted.
 
 use std::rc::Rc;
 
@@ -7,49 +7,49 @@
 use super::Codecs;
 use crate::prelude::*;
 
-/// Right to replace the primary of one service for a short time.
+/// Temporary right of one VM to replace the primary of a service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Claim {
-    /// Token that rises with each claim.
+    /// Fencing token; it rises with each claim.
     pub fence: u64,
 }
 
 /// An order to promote a member.
 #[derive(Clone, Debug)]
 pub struct Promotion {
-    /// Service.
+    /// Name of the service.
     pub service: Name,
     /// Id of the member.
     pub member: Name,
-    /// Token of the claim.
+    /// Fencing token of the claim.
     pub fence: u64,
 }
 
-/// Answer to a promotion.
+/// Outcome of an order to promote a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display, strum::IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
 pub enum PromoteOutcome {
-    /// It will lead.
+    /// The member will lead.
     Accepted,
-    /// It can't lead.
+    /// The member can't lead.
     Refused,
-    /// No usable answer came.
+    /// No usable answer came; the member may have been promoted.
     Unknown,
 }
 
-/// Who decides which VM may promote, and who promotes.
+/// Functions that decide which VM may replace a primary, and that promote members.
 #[derive(Clone)]
 pub struct Authority {
-    /// Claims the right for a service; `None` when another VM has it or the
+    /// Claims the right for a service; `None` when another VM holds it or the
     /// platform does not answer.
     pub claim: Rc<dyn Fn(Name) -> LocalBoxFuture<'static, Option<Claim>>>,
-    /// Gives the right back.
+    /// Gives up the claim.
     pub release: Rc<dyn Fn(Name, Claim) -> LocalBoxFuture<'static, ()>>,
     /// Orders a promotion.
     pub promote: Rc<dyn Fn(Promotion) -> LocalBoxFuture<'static, PromoteOutcome>>,
 }
 
-/// What the relay needs from its surroundings.
+/// Options of the relay.
 #[derive(Clone, bon::Builder)]
 pub struct RelayOptions {
     /// Name of the VM.
@@ -58,24 +58,23 @@
     pub zone: Name,
     /// Region of each availability zone.
     pub regions: BTreeMap<Name, Name>,
-    /// Codecs.
+    /// Codecs of callers, members and other VMs.
     pub codecs: Codecs,
-    /// Who decides about promotions.
+    /// Grants claims and promotes members.
     pub authority: Authority,
-    /// Longest time of a graceful stop, in milliseconds.
+    /// Longest time of a graceful shutdown, in milliseconds.
     pub grace_ms: u64,
-    /// Time after which a member that leaves must get no requests, in
-    /// milliseconds.
+    /// Time after which a leaving member must get no requests, in milliseconds.
     pub drain_ms: u64,
 }
 
 impl RelayOptions {
-    /// Its region; a zone of no region is one of its own.
+    /// Region of the VM; a zone without one counts as a region of its own.
     pub fn region(&self) -> &Name {
         self.regions.get(&self.zone).unwrap_or(&self.zone)
     }
 
-    /// Distance of a zone: 0 for the own one, 1 within the region, 2 beyond.
+    /// Distance of a zone: 0 for the VM's own zone, 1 within its region, 2 outside.
     pub fn distance(&self, zone: &Name) -> u32 {
         if *zone == self.zone {
             return 0;
--- a/src/relay/vms.rs
+++ b/src/relay/vms.rs
@@ -1,15 +1,15 @@
-//! VMs that are at work, as the platform lists them.
+//! Active VMs, as the platform lists them.
 
 use std::net::SocketAddr;
 
 use crate::{decide::holders::VmPlace, prelude::*};
 
-/// VMs that are at work, this one among them. Empty until they are known.
+/// Active VMs, including this one. Empty until they are known.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Vms {
-    /// Where each stands.
+    /// Zone, region and weight of each VM.
     pub places: BTreeMap<Name, VmPlace>,
-    /// Where each listens for other VMs.
+    /// Address at which each listens for other VMs.
     pub addresses: BTreeMap<Name, SocketAddr>,
 }
 
