--- a/src/relay/connection.rs
+++ b/src/relay/connection.rs
@@ -5,40 +5,40 @@
 use super::socket::Socket;
 use crate::{decide::holders::MemberPath, prelude::*, proxy::connection::Permit};
 
-/// Values of a session, by name.
+/// Variables of a session, set by the caller, by name.
 pub type SessionVariables = BTreeMap<Bytes, Bytes>;
 
-/// Prepared statements after which a connection is reset before it is reused.
+/// Number of prepared statements from which a connection is reset before reuse.
 const PREPARED_MAX: usize = 500;
 
-/// A connection to a member, or to another VM that stands for it.
+/// A connection to a member, direct or through another VM that forwards to it.
 pub struct Connection {
     /// The socket.
     pub socket: Socket,
     /// Id of the member.
     pub member: Name,
-    /// How it leads there.
-    pub way: MemberPath,
-    /// Values that are set on it.
+    /// Path that it takes.
+    pub path: MemberPath,
+    /// Session variables that are set on it.
     pub variables: SessionVariables,
     /// Names of the statements that are prepared on it.
     pub prepared: BTreeSet<Name>,
-    /// Ends the count as a request that runs when it is dropped.
-    pub run: Option<Permit>,
-    /// Time since which nobody uses it, in milliseconds.
+    /// Counts its request as running until dropped.
+    pub run_permit: Option<Permit>,
+    /// Time since which it is idle, in milliseconds.
     pub idle_since_ms: u64,
-    /// Gives its place back when it is dropped.
+    /// Counts it as open until dropped.
     pub _permit: Permit,
 }
 
 impl Connection {
     /// Whether it must be reset before a session with these variables uses it: a
-    /// value can be set over but not removed.
+    /// variable can be overwritten but not removed.
     pub fn needs_reset(&self, variables: &SessionVariables) -> bool {
-        let has_more = self
+        let has_extra = self
             .variables
             .keys()
             .any(|name| !variables.contains_key(name));
-        has_more || self.prepared.len() >= PREPARED_MAX
+        has_extra || self.prepared.len() >= PREPARED_MAX
     }
 }
--- a/src/relay/message.rs
+++ b/src/relay/message.rs
@@ -1,4 +1,4 @@
-//! Messages to a service's task.
+//! Messages to the task of a service.
 
 use std::rc::Rc;
 
@@ -11,31 +11,31 @@
 };
 use crate::{decide::holders::MemberPath, prelude::*};
 
-/// How fresh a member's log must be.
+/// How fresh a member's log must be for a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Freshness {
-    /// The log must hold what was acknowledged before this time, in milliseconds.
+    /// The log must hold all that was acknowledged before this time, in milliseconds.
     pub since_ms: u64,
-    /// Position that the session has reached.
+    /// Position that the session has reached, which the log must hold as well.
     pub floor: Option<Position>,
-    /// Oldest data allowed, in milliseconds.
+    /// Greatest staleness allowed, in milliseconds.
     pub max_staleness_ms: u64,
 }
 
 /// What a connection is needed for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Purpose {
-    /// For what only the primary can do. Whoever reads there without a proof
-    /// that it leads says how fresh its log must be.
+    /// For work that only the primary can do. A read that is not followed by a
+    /// leadership check gives the freshness that the primary's log must have.
     Primary(Option<Freshness>),
-    /// To read.
+    /// For a read on any member that is fresh enough.
     Read(Freshness),
-    /// For what another VM asks of one member.
+    /// For a statement that another VM forwards to this member.
     Forward(Name),
 }
 
 impl Purpose {
-    /// How fresh the member's log must be.
+    /// Freshness that the member's log must have, if limited.
     pub fn freshness(&self) -> Option<Freshness> {
         match self {
             Purpose::Forward(_) => None,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Whether only the primary will do.
+    /// Whether only the primary can serve it.
     pub fn is_primary(&self) -> bool {
         matches!(self, Purpose::Primary(_))
     }
@@ -54,70 +54,70 @@
 pub struct Acquire {
     /// Id of the statement, for logs.
     pub id: bytes::Bytes,
-    /// What for.
+    /// What it is needed for.
     pub purpose: Purpose,
-    /// Latest time to grant it, in milliseconds.
+    /// Time after which it is refused, in milliseconds.
     pub deadline_ms: u64,
-    /// Priority; zero goes first.
+    /// Priority; zero is the highest.
     pub priority: u32,
-    /// Whether it begins a transaction, which keeps the connection.
+    /// Whether it is for a transaction, which keeps the connection.
     pub is_transaction: bool,
-    /// Members that have failed this request.
+    /// Members that must not serve it, since an attempt there failed.
     pub avoid: BTreeSet<Name>,
-    /// Values of the session.
+    /// Variables of the session.
     pub variables: Rc<SessionVariables>,
-    /// Answer.
+    /// Channel for the answer.
     pub reply: oneshot::Sender<std::result::Result<Granted, Refused>>,
 }
 
-/// A connection that was granted.
+/// A granted connection.
 pub struct Granted {
     /// The connection.
     pub connection: Connection,
-    /// Position that the member's log must hold.
+    /// Position that the member's log must hold before the statement runs.
     pub after: Option<Position>,
-    /// Term that the member led when it last reported; `None` for a replica.
+    /// Term in which the member led by its last report; `None` for a replica.
     pub led_term: Option<u64>,
 }
 
-/// A request that was refused. It was not run.
+/// A refusal of a request. Its statement was not run.
 #[derive(Clone, Debug)]
 pub struct Refused {
     /// Class of the error.
     pub class: ErrorClass,
-    /// Why.
+    /// Reason.
     pub text: &'static str,
-    /// Time after which to come back, in milliseconds.
+    /// Time after which a retry makes sense, in milliseconds.
     pub retry_after_ms: u64,
 }
 
-/// Why there is no report of a member for another VM.
+/// Why a member's report could not be given to another VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "snake_case")]
 pub enum ReportError {
     /// The member does not answer this VM.
     Silent,
-    /// It has not answered in time, but before: it has much to do, or all
+    /// The member has answered before, but not in time: it is overloaded, or all
     /// connections to it are in use.
     Busy,
-    /// This VM does not go to the member itself.
+    /// This VM does not use a direct path to the member.
     NotReached,
 }
 
-/// A message to a service's task.
+/// A message to the task of a service.
 pub enum ServiceMessage {
     /// Grant a connection.
     Acquire(Acquire),
-    /// Take a connection back.
+    /// Return a connection.
     Release {
         /// The connection.
         connection: Connection,
         /// Whether a transaction may be open on it.
         needs_rollback: bool,
-        /// Time of the read that it served, in microseconds.
+        /// Duration of the read that it served, in microseconds.
         read_us: Option<u64>,
     },
-    /// A connection is gone.
+    /// A connection was closed.
     ConnectionClosed {
         /// Id of the member.
         member: Name,
@@ -127,90 +127,91 @@
         /// Id of the member.
         member: Name,
     },
-    /// The member refused a statement because it is full.
+    /// The member refused a statement because it is overloaded.
     Full {
         /// Id of the member.
         member: Name,
     },
-    /// A connection was opened, or not.
+    /// An attempt to open a connection has ended.
     ConnectionOpened {
         /// Id of the member.
         member: Name,
-        /// The connection.
+        /// The connection, or why it was not opened.
         result: Result<Connection>,
     },
-    /// A member reported, or did not.
+    /// A probe has ended.
     Probed {
         /// Id of the member.
         member: Name,
-        /// How it was asked.
-        way: MemberPath,
-        /// Time it was asked, in microseconds.
+        /// Path of the probe.
+        path: MemberPath,
+        /// Time the probe was sent, in microseconds.
         asked_us: u64,
-        /// The report, and the connection that it came on.
+        /// The connection it was sent on and the report, or why there is none.
         result: Result<(Connection, StatusReport)>,
     },
-    /// Another VM asks for a report of a member.
+    /// Another VM requests the report of a member.
     RequestReport {
         /// Id of the member.
         member: Name,
-        /// Time after which the member must be asked, in microseconds.
+        /// Time after which the probe must be sent, in microseconds.
         since_us: u64,
-        /// Answer.
+        /// Channel for the answer.
         reply: oneshot::Sender<std::result::Result<StatusReport, ReportError>>,
     },
-    /// Prove that nobody else leads.
+    /// Check that no other member has taken over from the primary.
     CheckLeadership {
-        /// Member that is believed to lead.
+        /// Member that this VM takes for the primary.
         primary: Name,
-        /// Time after which the others must be asked, in microseconds.
+        /// Time after which the others' probes must be sent, in microseconds.
         since_us: u64,
-        /// Answer: the highest term of the others, or `None` when they do not answer.
+        /// Channel for the highest term of the other members; `None` if too few
+        /// answered in time.
         reply: oneshot::Sender<Option<u64>>,
     },
-    /// All that was acknowledged before a time lies at or before a position.
+    /// All commits acknowledged before a time lie at or before a position.
     Observed {
         /// The time, in milliseconds.
         since_ms: u64,
         /// The position.
         position: Position,
     },
-    /// A statement on a member broke off or is late.
+    /// A statement on a member failed or is late.
     Suspect {
         /// Id of the member.
         member: Name,
-        /// Whether a commit waits there.
+        /// Whether a commit waits for its answer there.
         is_commit: bool,
     },
-    /// A commit was acknowledged: the primary is not stuck.
+    /// A commit was acknowledged: commits at the primary are not stuck.
     Committed,
-    /// The member does not lead.
+    /// The member refused a statement because it does not lead.
     NotPrimary {
         /// Id of the member.
         member: Name,
     },
-    /// The member lacks a position.
+    /// The member refused a statement because its log lacks a position.
     Behind {
         /// Id of the member.
         member: Name,
     },
-    /// The members as the platform lists them now.
+    /// The platform's list of the service's members.
     Members {
         /// Members by id.
         members: BTreeMap<Name, MemberEntry>,
     },
-    /// The VMs that are at work.
+    /// The active VMs.
     Vms(Rc<Vms>),
     /// The configuration of the service.
     Config(ServiceConfig),
-    /// An attempt to replace the primary asks for the members as they are now.
+    /// A takeover requests the current members of the group.
     GroupMembers {
-        /// Answer.
+        /// Channel for the answer.
         reply: oneshot::Sender<Vec<GroupMember>>,
     },
-    /// An attempt to replace the primary has ended.
+    /// An attempt at a takeover has ended.
     TakeoverEnded {
-        /// Member that leads now, if any was promoted.
+        /// Member that was promoted, if any.
         promoted: Option<Name>,
     },
 }
--- a/src/relay/open.rs
+++ b/src/relay/open.rs
@@ -11,8 +11,8 @@
 };
 use crate::{decide::holders::MemberPath, prelude::*, proxy::connection::Permit};
 
-/// Longest time to open a connection: three trips to another region and back,
-/// the member's work and a full queue there.
+/// Longest time to open a connection: three round trips to another region, the
+/// member's own work and a full queue there.
 const OPEN_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A member to connect to.
@@ -22,18 +22,17 @@
     pub service: Name,
     /// Id of the member.
     pub member: Name,
-    /// How it is reached.
-    pub way: MemberPath,
-    /// Address of the member, or of the VM that the way leads through.
+    /// Path to it.
+    pub path: MemberPath,
+    /// Address of the member, or of the VM that forwards to it.
     pub address: SocketAddr,
 }
 
-/// Opens a connection. The member's id goes with it, since addresses are used
-/// again.
+/// Opens a connection. The request names the member, since addresses are reused.
 ///
 /// # Errors
 ///
-/// Returns an error when nobody answers in time or the member refuses.
+/// Returns an error when no answer comes in time or the member refuses.
 pub async fn open(target: Target, codec: MemberCodec, permit: Permit) -> Result<Connection> {
     let opened = compio::time::timeout(OPEN_TIMEOUT, connect(target, codec, permit)).await;
     opened.map_err(|_| RelayError::Timeout)?
@@ -44,10 +43,10 @@
     let mut connection = Connection {
         socket: Socket::new(stream)?,
         member: target.member.clone(),
-        way: target.way.clone(),
+        path: target.path.clone(),
         variables: BTreeMap::new(),
         prepared: BTreeSet::new(),
-        run: None,
+        run_permit: None,
         idle_since_ms: 0,
         _permit: permit,
     };
--- a/src/relay/service.rs
+++ b/src/relay/service.rs
@@ -1,13 +1,13 @@
-//! The task of a service: it owns the connections to its members, grants them,
-//! and knows which member leads.
+//! The task of one service. It owns the connections to the service's members,
+//! grants them to requests, and tracks which member is the primary.
 
 mod connections;
 mod grant;
 mod members;
+mod paths;
 mod probe;
 mod reports;
 mod watch;
-mod ways;
 
 use std::rc::Rc;
 
@@ -34,23 +34,23 @@
     proxy::connection::Permit,
 };
 
-/// Longest time between two looks at the timers while nothing waits.
+/// Longest time between two timer checks while no request waits.
 const IDLE_TICK_MS: u64 = 250;
 /// The same while requests wait.
-const BUSY_TICK_MS: u64 = 10;
-/// The same while a member does not answer.
+const WAITING_TICK_MS: u64 = 10;
+/// The same while a member does not answer or the primary is being replaced.
 const FAILING_TICK_MS: u64 = 50;
 
-/// What tasks of a service share.
+/// State shared by the tasks of a service.
 #[derive(Clone)]
 pub struct ServiceContext {
     /// Name of the service.
     pub service: Name,
-    /// Surroundings.
+    /// Options of the relay.
     pub options: Rc<RelayOptions>,
     /// Metrics.
     pub metrics: Metrics,
-    /// The service's own mailbox.
+    /// Mailbox of the service's task.
     pub mailbox: flume::Sender<ServiceMessage>,
 }
 
@@ -62,14 +62,14 @@
     }
 }
 
-/// A proof that somebody waits for.
-struct PendingProof {
+/// A leadership check whose result a session waits for.
+struct PendingLeadershipCheck {
     primary: Name,
     since_us: u64,
     reply: oneshot::Sender<Option<u64>>,
 }
 
-/// A report of a member that another VM waits for.
+/// A member's report that another VM waits for.
 struct PendingReport {
     member: Name,
     since_us: u64,
@@ -78,38 +78,41 @@
 
 struct Service {
     context: ServiceContext,
-    entry: ServiceConfig,
+    config: ServiceConfig,
     vms: Rc<Vms>,
     members: BTreeMap<Name, Member>,
     primary: Option<Name>,
-    missing_since_ms: u64,
+    /// Time at which the primary was lost, or the task started.
+    primary_missing_since_ms: u64,
     waiting_primary: Vec<Acquire>,
+    /// Reads that wait for a floor or for a usable member.
     waiting_floor: Vec<Acquire>,
-    proofs: Vec<PendingProof>,
-    reports: Vec<PendingReport>,
-    refresh_since_us: Option<u64>,
+    leadership_checks: Vec<PendingLeadershipCheck>,
+    pending_reports: Vec<PendingReport>,
+    floor_refresh_since_us: Option<u64>,
     ages: AgeTracker,
+    /// Set while a commit at the primary is late.
     stuck: Option<StuckCommit>,
     takeover: Takeover,
 }
 
-/// State of the replacement of the primary, as this VM sees it.
+/// State of a takeover, the replacement of the primary, as this VM sees it.
 #[derive(Clone, Copy, Debug)]
 enum Takeover {
-    /// Nothing is wrong.
-    Calm,
-    /// The primary is to be replaced; another VM may be faster.
-    Due { reason: Reason, start_ms: u64 },
-    /// This VM tries to.
+    /// There is no reason for one.
+    Idle,
+    /// This VM will start an attempt unless another VM replaces the primary first.
+    Scheduled { reason: Reason, start_ms: u64 },
+    /// This VM is running an attempt.
     Running,
-    /// An attempt has ended a moment ago.
-    Pausing { until_ms: u64 },
+    /// This VM pauses after an attempt.
+    CoolingDown { until_ms: u64 },
 }
 
-/// Starts the task of a service.
+/// Starts the task of a service and returns its mailbox.
 pub fn start(
     service: Name,
-    entry: ServiceConfig,
+    config: ServiceConfig,
     options: Rc<RelayOptions>,
     metrics: Metrics,
 ) -> flume::Sender<ServiceMessage> {
@@ -120,48 +123,49 @@
         metrics,
         mailbox: mailbox.clone(),
     };
-    compio::runtime::spawn(run(context, entry, messages)).detach();
+    compio::runtime::spawn(run(context, config, messages)).detach();
     mailbox
 }
 
 async fn run(
     context: ServiceContext,
-    entry: ServiceConfig,
+    config: ServiceConfig,
     messages: flume::Receiver<ServiceMessage>,
 ) {
     let mut service = Service {
         context,
-        entry,
+        config,
         vms: Rc::default(),
         members: BTreeMap::new(),
         primary: None,
-        missing_since_ms: clock::boot_ms(),
+        primary_missing_since_ms: clock::boot_ms(),
         waiting_primary: Vec::new(),
         waiting_floor: Vec::new(),
-        proofs: Vec::new(),
-        reports: Vec::new(),
-        refresh_since_us: None,
+        leadership_checks: Vec::new(),
+        pending_reports: Vec::new(),
+        floor_refresh_since_us: None,
         ages: AgeTracker::default(),
         stuck: None,
-        takeover: Takeover::Calm,
+        takeover: Takeover::Idle,
     };
     loop {
         let wait = service.next_timer();
         match compio::time::timeout(wait, messages.recv_async()).await {
-            Ok(Ok(message)) => service.take(message),
+            Ok(Ok(message)) => service.handle(message),
             Ok(Err(_)) => return,
             Err(_) => {}
         }
-        // A batch of messages needs only one look at what waits.
+        // Drains the mailbox so that a batch of messages is followed by one pass
+        // over the waiting requests.
         for message in messages.drain() {
-            service.take(message);
+            service.handle(message);
         }
-        service.pump();
+        service.advance();
     }
 }
 
 impl Service {
-    fn take(&mut self, message: ServiceMessage) {
+    fn handle(&mut self, message: ServiceMessage) {
         match message {
             ServiceMessage::Acquire(acquire) => self.acquire(acquire),
             ServiceMessage::Release {
@@ -183,15 +187,15 @@
             ServiceMessage::ConnectionOpened { member, result } => self.opened(&member, result),
             ServiceMessage::Probed {
                 member,
-                way,
+                path,
                 asked_us,
                 result,
-            } => self.probed(&member, &way, asked_us, result),
+            } => self.handle_probe_result(&member, &path, asked_us, result),
             ServiceMessage::RequestReport {
                 member,
                 since_us,
                 reply,
-            } => self.reports.push(PendingReport {
+            } => self.pending_reports.push(PendingReport {
                 member,
                 since_us,
                 reply,
@@ -200,37 +204,38 @@
                 primary,
                 since_us,
                 reply,
-            } => self.proofs.push(PendingProof {
+            } => self.leadership_checks.push(PendingLeadershipCheck {
                 primary,
                 since_us,
                 reply,
             }),
             ServiceMessage::Observed { since_ms, position } => {
-                self.observe(since_ms, position, "statement");
+                self.raise_floor(since_ms, position, "statement");
             }
             ServiceMessage::Suspect { member, is_commit } => self.suspect(&member, is_commit),
             ServiceMessage::Committed => self.stuck = None,
             ServiceMessage::NotPrimary { member } => self.not_primary(&member),
-            ServiceMessage::Behind { member } => self.behind(&member),
+            ServiceMessage::Behind { member } => self.mark_behind(&member),
             ServiceMessage::Members { members } => self.change_members(members),
             ServiceMessage::Vms(vms) => self.change_vms(vms),
-            ServiceMessage::Config(entry) => self.change_entry(entry),
+            ServiceMessage::Config(config) => self.change_config(config),
             ServiceMessage::GroupMembers { reply } => {
-                // The attempt may have ended.
-                let _ = reply.send(self.rivals());
+                // The attempt may have ended meanwhile.
+                let _ = reply.send(self.group_members());
             }
             ServiceMessage::TakeoverEnded { promoted } => self.takeover_ended(promoted),
         }
     }
 
-    /// Serves what can be served, asks what must be known, opens what lacks.
-    fn pump(&mut self) {
+    /// Updates the state derived from the members' reports, serves or refuses the
+    /// waiting requests, and starts due probes and a due takeover.
+    fn advance(&mut self) {
         let now_ms = clock::boot_ms();
         self.drop_superseded();
-        self.note_primary();
-        self.settle_proofs();
-        self.settle_reports();
-        self.settle_floor();
+        self.update_primary();
+        self.resolve_leadership_checks();
+        self.resolve_reports();
+        self.resolve_floor_refresh();
         self.route_waiting();
         let members: Vec<Name> = self.members.keys().cloned().collect();
         for member in &members {
@@ -247,23 +252,23 @@
 
     fn next_timer(&self) -> Duration {
         let is_waiting = !self.waiting_floor.is_empty()
-            || !self.proofs.is_empty()
-            || !self.reports.is_empty()
+            || !self.leadership_checks.is_empty()
+            || !self.pending_reports.is_empty()
             || !self.waiting_primary.is_empty()
             || self.members.values().any(|m| !m.queue.is_empty());
         let is_failing = self.members.values().any(|m| m.failures > 0);
-        let is_calm = matches!(self.takeover, Takeover::Calm);
-        let wait_ms = match (is_waiting, is_failing || !is_calm) {
-            (true, _) => BUSY_TICK_MS,
+        let is_idle = matches!(self.takeover, Takeover::Idle);
+        let wait_ms = match (is_waiting, is_failing || !is_idle) {
+            (true, _) => WAITING_TICK_MS,
             (false, true) => FAILING_TICK_MS,
             (false, false) => IDLE_TICK_MS,
         };
         Duration::from_millis(wait_ms)
     }
 
-    /// Takes note that all that was acknowledged before `since_ms` lies at or
-    /// before `position`.
-    fn observe(&mut self, since_ms: u64, position: Position, source: &'static str) {
+    /// Records `position` as a floor, the minimum position that a read must see:
+    /// all commits acknowledged before `since_ms` lie at or before it.
+    fn raise_floor(&mut self, since_ms: u64, position: Position, source: &'static str) {
         decision!(
             "floor", service = &*self.context.service, since_ms = since_ms,
             position = position.to_string(), source = source; "floor raised"
@@ -271,10 +276,11 @@
         self.ages.observe(since_ms, position);
     }
 
-    /// Member that leads in the highest term that any has reported.
+    /// The member that reports itself primary in the highest term reported by any
+    /// member.
     fn find_primary(&self) -> Option<Name> {
-        let led = self.members.iter();
-        let leader = led
+        let members = self.members.iter();
+        let leader = members
             .filter_map(|(id, m)| m.led_term().map(|term| (term, id)))
             .max();
         let highest = self.highest_term();
@@ -289,7 +295,7 @@
         reports.map(|(_, report)| report.term).max().unwrap_or(0)
     }
 
-    fn note_primary(&mut self) {
+    fn update_primary(&mut self) {
         let found = self.find_primary();
         if found == self.primary {
             return;
@@ -298,10 +304,10 @@
             "primary", service = &*self.context.service,
             primary = found.as_deref().unwrap_or("none"),
             before = self.primary.as_deref().unwrap_or("none"),
-            term = self.highest_term(); "primary seen"
+            term = self.highest_term(); "primary changed"
         );
         if found.is_none() {
-            self.missing_since_ms = clock::boot_ms();
+            self.primary_missing_since_ms = clock::boot_ms();
         }
         self.stuck = None;
         self.primary = found;
@@ -309,7 +315,7 @@
 }
 
 fn refuse(acquire: Acquire, class: ErrorClass, text: &'static str, retry_after_ms: u64) {
-    // A caller that went away needs no answer.
+    // The receiver is gone once the caller has disconnected.
     let _ = acquire.reply.send(Err(Refused {
         class,
         text,
--- a/src/relay/service/connections.rs
+++ b/src/relay/service/connections.rs
@@ -1,14 +1,16 @@
-//! Connections: opened, taken back, closed.
+//! Opening, releasing and closing connections to members.
 
 use super::*;
 use crate::relay::{MemberRequest, RelayError, Result, connection::Connection, exchange::request};
 
-/// Pause after a connection could not be opened, in milliseconds.
+/// Pause after a failed attempt to open a connection, in milliseconds.
 const OPEN_PAUSE_MS: u64 = 100;
-/// Longest time to roll a transaction back before the connection is closed.
+/// Longest time for the rollback of a released connection, after which it is closed.
 const ROLLBACK_TIMEOUT: Duration = Duration::from_millis(500);
 
 impl Service {
+    /// Opens a connection if requests wait for one and both `limit` and the
+    /// member's window leave room.
     pub(super) fn open_if_needed(&mut self, id: &Name, limit: usize) {
         let now_ms = clock::boot_ms();
         let (Some(target), Some(member)) = (self.target(id), self.members.get_mut(id)) else {
@@ -59,13 +61,13 @@
     }
 
     pub(super) fn limit(&self, member: &Member) -> usize {
-        let budget = member.budget(self.entry.connections_max);
+        let budget = member.budget(self.config.connections_max);
         budget.limit(member.open)
     }
 
-    /// Closes connections that others may need more.
+    /// Closes surplus idle connections, so that other VMs can open theirs.
     pub(super) fn trim(&mut self, now_ms: u64) {
-        let connections_max = self.entry.connections_max;
+        let connections_max = self.config.connections_max;
         for member in self.members.values_mut().filter(|m| !m.idle.is_empty()) {
             let budget = member.budget(connections_max);
             member.trim(&budget, now_ms);
@@ -82,7 +84,7 @@
         let Some(member) = self.members.get_mut(&id) else {
             return;
         };
-        connection.run = None;
+        connection.run_permit = None;
         if let Some(read_us) = read_us {
             member.window.done();
             member.record_read(read_us);
@@ -96,7 +98,7 @@
         if member.entry.is_leaving && self.primary.as_ref() != Some(&id) {
             return;
         }
-        if connection.way != *member.way() {
+        if connection.path != *member.path() {
             return;
         }
         connection.idle_since_ms = clock::boot_ms();
@@ -111,7 +113,7 @@
         };
         member.opening = member.opening.saturating_sub(1);
         match result {
-            Ok(connection) if connection.way != *member.way() => self.serve_queue(id),
+            Ok(connection) if connection.path != *member.path() => self.serve_queue(id),
             Ok(mut connection) => {
                 connection.idle_since_ms = now_ms;
                 member.idle.push(connection);
@@ -123,10 +125,11 @@
                     reason = error.to_string(); "connection not opened"
                 );
                 member.open_after_ms = now_ms + OPEN_PAUSE_MS;
-                // A member that is full need not be asked how it is.
-                let is_other = ErrorClass::WrongMember;
+                // Any other refusal, such as a full member's, shows that the member
+                // answers: no probe is needed.
+                let wrong_member = ErrorClass::WrongMember;
                 match error {
-                    RelayError::Refused { class } if class != is_other => {}
+                    RelayError::Refused { class } if class != wrong_member => {}
                     _ => self.suspect(id, false),
                 }
             }
@@ -134,16 +137,17 @@
     }
 }
 
-/// Ends the transaction that may be open on a connection.
+/// Rolls back the transaction that may be open on a connection, then releases
+/// the connection. Closes it when the rollback fails.
 async fn roll_back(context: ServiceContext, mut connection: Connection) {
     let codec = context.options.codecs.member;
     let ended = request(&mut connection, &codec, &MemberRequest::Rollback);
     let ended = compio::time::timeout(ROLLBACK_TIMEOUT, ended).await;
-    let is_idle = matches!(
+    let is_rolled_back = matches!(
         ended,
         Ok(Ok(answer)) if answer.state == crate::relay::SessionState::Idle
     );
-    if is_idle {
+    if is_rolled_back {
         context.send(ServiceMessage::Release {
             connection,
             needs_rollback: false,
--- a/src/relay/service/grant.rs
+++ b/src/relay/service/grant.rs
@@ -1,4 +1,4 @@
-//! Requests for connections: routed, granted, queued, refused.
+//! Routing of connection requests to members: they are granted, queued or refused.
 
 use super::*;
 use crate::decide::{
@@ -8,20 +8,22 @@
 };
 use crate::relay::connection::Connection;
 
-/// Time for which a member that lacked a position counts as behind, in milliseconds.
-const BEHIND_MS: u64 = 250;
-/// Time for which floors are refreshed more often after a member was behind,
+/// Time for which a member counts as behind after it lacked a required position,
 /// in milliseconds.
-const BEHIND_MEMORY_MS: u64 = 3_000;
-/// When to come back while there is no primary, in milliseconds: a replacement
-/// takes about this long.
+const BEHIND_MS: u64 = 250;
+/// Time for which floors are still refreshed more often after a member stopped
+/// counting as behind, in milliseconds.
+const BEHIND_RECOVERY_MS: u64 = 3_000;
+/// Retry hint while there is no primary, in milliseconds: a takeover takes about
+/// this long.
 const NO_PRIMARY_RETRY_MS: u64 = 1_000;
-/// When to come back to a VM that most members do not answer, in milliseconds;
-/// another VM may serve at once.
+/// Retry hint while most members do not answer this VM, in milliseconds. Another
+/// VM may be able to serve the request at once.
 const CUT_OFF_RETRY_MS: u64 = 1_000;
-/// When to come back when no replica could be asked, in milliseconds.
+/// Retry hint when a read found no floor or no usable member in time, in
+/// milliseconds.
 const NO_FLOOR_RETRY_MS: u64 = 300;
-/// When to come back after a full queue, in milliseconds.
+/// Retry hint when no connection to a member became free, in milliseconds.
 const QUEUE_RETRY_MS: u64 = 200;
 
 impl Service {
@@ -43,9 +45,9 @@
         }
     }
 
-    /// Another VM asks for a member that this one should reach.
+    /// Serves a request of another VM for a connection to one member.
     fn acquire_forwarded(&mut self, acquire: Acquire, member: &Name) {
-        if self.reaches(member) && !self.is_closed(member) {
+        if self.has_direct_path(member) && !self.is_closed(member) {
             return self.serve_on(member, acquire);
         }
         refuse(
@@ -59,17 +61,17 @@
     fn has_member_behind(&self) -> bool {
         let now_ms = clock::boot_ms();
         let mut members = self.members.values();
-        members.any(|m| now_ms < m.behind_until_ms + BEHIND_MEMORY_MS)
+        members.any(|m| now_ms < m.behind_until_ms + BEHIND_RECOVERY_MS)
     }
 
     fn acquire_primary(&mut self, acquire: Acquire) {
         let primary = self.primary.clone();
-        let usable = primary.filter(|p| self.answers(p) && !self.is_closed(p));
+        let usable = primary.filter(|p| self.is_answering(p) && !self.is_closed(p));
         if self.is_cut_off() {
             return refuse_cut_off(acquire);
         }
         match usable {
-            // While commits wait for a replica, more would only wait as well.
+            // While commits wait for a replica, further ones would wait as well.
             Some(primary) if !self.is_stuck() => self.serve_on(&primary, acquire),
             _ => self.waiting_primary.push(acquire),
         }
@@ -137,7 +139,7 @@
         Some(chosen.member.clone())
     }
 
-    /// Grants a connection to a member, now or once one is free.
+    /// Grants a connection to a member now, or queues the request until one is free.
     fn serve_on(&mut self, id: &Name, acquire: Acquire) {
         let now_ms = clock::boot_ms();
         let limit = self.members.get(id).map_or(0, |m| self.limit(m));
@@ -172,7 +174,7 @@
 
     fn grant(&mut self, id: &Name, mut connection: Connection, acquire: Acquire) {
         if !acquire.is_transaction {
-            connection.run = Some(self.count_run(id));
+            connection.run_permit = Some(self.count_run(id));
         }
         let led_term = self.members.get(id).and_then(Member::led_term);
         let freshness = acquire.purpose.freshness();
@@ -186,7 +188,7 @@
             led_term,
         };
         if let Err(Ok(granted)) = acquire.reply.send(Ok(granted)) {
-            // The caller went away.
+            // The caller has disconnected.
             self.release(granted.connection, false, None);
         }
     }
@@ -226,7 +228,7 @@
         }
     }
 
-    /// Sends what waits for a member that fails to another one.
+    /// Routes the requests queued for a member again; reads go to another member.
     pub(super) fn reroute(&mut self, id: &Name) {
         let Some(member) = self.members.get_mut(id) else {
             return;
@@ -239,13 +241,13 @@
         }
     }
 
-    /// Routes what waits for a primary or for a floor, if there is one now.
+    /// Routes the requests that wait for a primary or a floor again.
     pub(super) fn route_waiting(&mut self) {
         for acquire in std::mem::take(&mut self.waiting_primary) {
             self.acquire(acquire);
         }
         for mut acquire in std::mem::take(&mut self.waiting_floor) {
-            // Where all members have failed it, each may be tried again.
+            // Once every member is excluded, all may be tried again.
             if self.members.keys().all(|id| acquire.avoid.contains(id)) {
                 acquire.avoid.clear();
             }
@@ -253,7 +255,7 @@
         }
     }
 
-    /// Refuses what can't be served any longer.
+    /// Refuses waiting requests whose deadline has passed.
     pub(super) fn expire(&mut self, now_ms: u64) {
         for member in self.members.values_mut() {
             for acquire in member.queue.expire(now_ms) {
@@ -284,7 +286,7 @@
         }
     }
 
-    pub(super) fn behind(&mut self, id: &Name) {
+    pub(super) fn mark_behind(&mut self, id: &Name) {
         if let Some(member) = self.members.get_mut(id) {
             member.behind_until_ms = clock::boot_ms() + BEHIND_MS;
         }
--- a/src/relay/service/members.rs
+++ b/src/relay/service/members.rs
@@ -1,4 +1,5 @@
-//! Members as the platform lists them: added, changed, superseded, forgotten.
+//! Applying the platform's member list: members are added, changed, superseded
+//! and removed.
 
 use std::net::SocketAddr;
 
@@ -15,12 +16,12 @@
         for (id, entry) in members {
             self.change_member(&id, entry);
         }
-        let forget = |m: &Member| {
+        let is_expired = |m: &Member| {
             let since = m.unlisted_since_ms;
-            since.is_some_and(|at| now_ms >= at + watch::FORGET_MS) && m.open == 0
+            since.is_some_and(|at| now_ms >= at + watch::MEMBER_RETENTION_MS) && m.open == 0
         };
-        self.members.retain(|_, member| !forget(member));
-        self.find_ways();
+        self.members.retain(|_, member| !is_expired(member));
+        self.update_paths();
     }
 
     fn change_member(&mut self, id: &Name, entry: MemberEntry) {
@@ -33,41 +34,41 @@
                 "member listed"
             );
             let mut member = Member::new(entry, distance);
-            member.note_leaving(member.entry.is_leaving);
+            member.set_leaving(member.entry.is_leaving);
             self.members.insert(id.clone(), member);
-            self.want_probe(id, clock::boot_us());
+            self.request_probe(id, clock::boot_us());
             return;
         };
-        let is_reborn =
+        let is_restarted =
             member.entry.started_ms != entry.started_ms || member.entry.address != entry.address;
         let has_new_role = member.entry.role != entry.role;
-        if member.entry.is_leaving != entry.is_leaving || is_reborn {
+        if member.entry.is_leaving != entry.is_leaving || is_restarted {
             decision!(
                 "member", service = &*self.context.service, member = &**id,
-                is_leaving = entry.is_leaving, is_reborn = is_reborn; "member changed"
+                is_leaving = entry.is_leaving, is_reborn = is_restarted; "member changed"
             );
         }
-        if is_reborn {
-            // It holds and knows nothing of what its connections led to.
+        if is_restarted {
+            // The connections and the report belong to the previous process.
             member.idle.clear();
             member.report = None;
         }
         member.unlisted_since_ms = None;
-        member.note_leaving(entry.is_leaving);
+        member.set_leaving(entry.is_leaving);
         member.entry = entry;
-        if is_reborn || has_new_role {
-            self.want_probe(id, clock::boot_us());
+        if is_restarted || has_new_role {
+            self.request_probe(id, clock::boot_us());
         }
     }
 
-    /// Forgets members whose place has been taken: a member that crashed comes
-    /// back at its address with its log, under another id.
+    /// Removes absent members whose address now answers as another member: a member
+    /// that crashed comes back at its address, with its log, under another id.
     pub(super) fn drop_superseded(&mut self) {
         let is_absent = |m: &Member| m.failures > 0 || m.unlisted_since_ms.is_some();
         if !self.members.values().any(is_absent) {
             return;
         }
-        let heirs: BTreeMap<SocketAddr, Name> = self
+        let successors: BTreeMap<SocketAddr, Name> = self
             .members
             .iter()
             .filter(|(_, m)| m.failures == 0 && m.report.is_some())
@@ -75,13 +76,13 @@
             .collect();
         let absent = self.members.iter().filter(|(_, m)| is_absent(m));
         let superseded = absent.filter_map(|(id, m)| {
-            let heir = heirs.get(&m.entry.address).filter(|heir| *heir != id)?;
-            Some((id.clone(), heir.clone()))
+            let successor = successors.get(&m.entry.address).filter(|s| *s != id)?;
+            Some((id.clone(), successor.clone()))
         });
         let superseded: Vec<(Name, Name)> = superseded.collect();
-        for (id, heir) in superseded {
+        for (id, successor) in superseded {
             decision!(
-                "member", service = &*self.context.service, member = &*id, heir = &*heir;
+                "member", service = &*self.context.service, member = &*id, heir = &*successor;
                 "member superseded"
             );
             self.reroute(&id);
--- a/src/relay/service/probe.rs
+++ b/src/relay/service/probe.rs
@@ -1,4 +1,5 @@
-//! Reports: asked for, and the proofs and floors that follow from them.
+//! Probes, which ask members for status reports, and what follows from the
+//! reports: leadership checks and floors.
 
 use super::*;
 use crate::{
@@ -12,38 +13,41 @@
     },
 };
 
-/// Longest wait for a report: a trip to another region and back, and a full
-/// queue at the member.
+/// Longest wait for a report: a round trip to another region, and a full queue at
+/// the member.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
-/// Pause between questions to a member that does not answer, in milliseconds.
-const FAILED_PAUSE_MS: u64 = 100;
-/// Time for which a question waits for a connection while all are in use, in
-/// microseconds: a few statements.
-const FULL_WAIT_US: u64 = 150_000;
-/// Pause after another VM refused to stand for a member, in milliseconds.
-const REFUSED_PAUSE_MS: u64 = 20;
-/// Time after which all members are asked for a proof, not only the nearest,
-/// in microseconds: over the time of a trip to another region and back.
-const WIDEN_US: u64 = 120_000;
-/// Time after which a proof is given up, in microseconds.
-const PROOF_TIMEOUT_US: u64 = 600_000;
+/// Pause between probes of a member that does not answer or is full, in
+/// milliseconds.
+const PROBE_RETRY_MS: u64 = 100;
+/// Time for which a probe waits for an idle connection while all are in use, in
+/// microseconds: the duration of a few statements.
+const IDLE_CONNECTION_WAIT_US: u64 = 150_000;
+/// Pause before the next path is tried after a VM refused to forward to a member,
+/// in milliseconds.
+const NEXT_PATH_PAUSE_MS: u64 = 20;
+/// Time after which a leadership check asks all members, not only the nearest, in
+/// microseconds: more than a round trip to another region.
+const ASK_ALL_AFTER_US: u64 = 120_000;
+/// Time after which a leadership check or a refresh of the floor is given up, in
+/// microseconds.
+const LEADERSHIP_CHECK_TIMEOUT_US: u64 = 600_000;
 
 impl Service {
-    /// Asks a member for a report that is asked for after `since_us`.
-    pub(super) fn want_probe(&mut self, id: &Name, since_us: u64) {
+    /// Requests a probe of a member, sent after `since_us`.
+    pub(super) fn request_probe(&mut self, id: &Name, since_us: u64) {
         if let Some(member) = self.members.get_mut(id) {
-            member.probe_wanted_us.get_or_insert_with(clock::boot_us);
-            let wanted = member.probe_after_us.get_or_insert(since_us);
-            *wanted = since_us.max(*wanted);
+            member.probe_requested_us.get_or_insert_with(clock::boot_us);
+            let after_us = member.probe_after_us.get_or_insert(since_us);
+            *after_us = since_us.max(*after_us);
         }
     }
 
-    /// Asks all members for a report from now on.
-    pub(super) fn want_all_probes(&mut self) {
+    /// Requests a probe of every member, sent from now on.
+    pub(super) fn request_all_probes(&mut self) {
         let now_us = clock::boot_us();
         let members: Vec<Name> = self.members.keys().cloned().collect();
         for id in members {
-            self.want_probe(&id, now_us);
+            self.request_probe(&id, now_us);
         }
     }
 
@@ -51,8 +55,10 @@
         let due: Vec<Name> = self
             .members
             .iter()
-            .filter(|(_, m)| m.probing_us.is_none() && m.next_probe_ms <= now_ms)
-            .filter(|(_, m)| m.probe_after_us.is_some() || m.failures > 0 || m.is_best_due(now_ms))
+            .filter(|(_, m)| m.probe_sent_us.is_none() && m.next_probe_ms <= now_ms)
+            .filter(|(_, m)| {
+                m.probe_after_us.is_some() || m.failures > 0 || m.is_best_path_due(now_ms)
+            })
             .map(|(id, _)| id.clone())
             .collect();
         for id in due {
@@ -64,8 +70,8 @@
         let Some(member) = self.members.get_mut(id) else {
             return;
         };
-        let way = member.probe_way(clock::boot_ms());
-        let Some(target) = self.target_by(id, &way) else {
+        let path = member.probe_path(clock::boot_ms());
+        let Some(target) = self.target_by(id, &path) else {
             return;
         };
         let limit = self.members.get(id).map_or(0, |m| self.limit(m));
@@ -73,23 +79,23 @@
             return;
         };
         let asked_us = clock::boot_us();
-        // All connections are in use; one is free again as a rule before it
-        // is worth to open one beyond the limit.
+        // All connections are in use. One usually becomes idle before it is
+        // worth opening another beyond the limit.
         let is_full = member.idle.is_empty() && member.open >= limit;
-        let waits_since_us = member.probe_wanted_us.unwrap_or(0);
-        if is_full && member.failures == 0 && asked_us < waits_since_us + FULL_WAIT_US {
+        let requested_us = member.probe_requested_us.unwrap_or(0);
+        if is_full && member.failures == 0 && asked_us < requested_us + IDLE_CONNECTION_WAIT_US {
             return;
         }
-        member.probing_us = Some(asked_us);
+        member.probe_sent_us = Some(asked_us);
         member.probe_after_us = None;
-        member.probe_wanted_us = None;
-        // A member that fails is asked on a new connection: the old ones may
-        // have gone silent.
+        member.probe_requested_us = None;
+        // A failing member is probed on a new connection, since the open ones
+        // may be dead.
         let idle = match member.failures {
-            0 if way == *member.way() => member.take_idle(&SessionVariables::new()),
+            0 if path == *member.path() => member.take_idle(&SessionVariables::new()),
             _ => None,
         };
-        let connection = match idle {
+        let source = match idle {
             Some(connection) => ProbeConnection::Open(Box::new(connection)),
             None => ProbeConnection::New(target, self.count_open(id)),
         };
@@ -97,11 +103,11 @@
         let member = id.clone();
         compio::runtime::spawn(async move {
             let codec = context.options.codecs.member;
-            let result = compio::time::timeout(PROBE_TIMEOUT, ask(connection, &codec)).await;
+            let result = compio::time::timeout(PROBE_TIMEOUT, probe(source, &codec)).await;
             let result = result.unwrap_or(Err(RelayError::Timeout));
             context.send(ServiceMessage::Probed {
                 member,
-                way,
+                path,
                 asked_us,
                 result,
             });
@@ -109,10 +115,10 @@
         .detach();
     }
 
-    pub(super) fn probed(
+    pub(super) fn handle_probe_result(
         &mut self,
         id: &Name,
-        way: &MemberPath,
+        path: &MemberPath,
         asked_us: u64,
         result: Result<(Connection, StatusReport)>,
     ) {
@@ -120,16 +126,16 @@
         let Some(member) = self.members.get_mut(id) else {
             return;
         };
-        member.probing_us = None;
+        member.probe_sent_us = None;
         match result {
             Ok((connection, report)) => {
                 if member.failures > 0 {
                     decision!(
                         "dependency", service = &*self.context.service, member = &**id,
-                        failures = member.failures; "member regained"
+                        failures = member.failures; "member answers again"
                     );
                 }
-                member.note_answer(way);
+                member.record_answer(path);
                 member.failures = 0;
                 member.silent_since_us = None;
                 member.displaced_since_ms = None;
@@ -139,75 +145,77 @@
                     false => None,
                 };
                 member.report = Some((asked_us, report));
-                self.note_stuck(id, &report);
+                self.update_stuck(id, &report);
                 self.release(connection, false, None);
             }
-            // The best way is only tried while another one works.
-            Err(error) if *way != *member.way() => {
+            // The best path is only tried again while another one works.
+            Err(error) if *path != *member.path() => {
                 decision!(
                     "dependency", service = &*self.context.service, member = &**id,
-                    through = way.through(), reason = error.to_string(); "way tried in vain"
+                    through = path.through(), reason = error.to_string(); "way tried in vain"
                 );
             }
-            // The VM on the way does not reach it, but is well.
+            // The VM that forwards answers but does not reach the member.
             Err(RelayError::Refused {
                 class: ErrorClass::WrongMember,
-            }) if *way != MemberPath::Direct => {
-                member.use_next_way();
-                member.next_probe_ms = now_ms + REFUSED_PAUSE_MS;
-                self.want_probe(id, asked_us);
+            }) if *path != MemberPath::Direct => {
+                member.use_next_path();
+                member.next_probe_ms = now_ms + NEXT_PATH_PAUSE_MS;
+                self.request_probe(id, asked_us);
             }
-            // It answers, but has too much to do.
+            // The member answers but is overloaded.
             Err(RelayError::Refused { class }) if is_full(class) => {
-                member.next_probe_ms = now_ms + FAILED_PAUSE_MS;
+                member.next_probe_ms = now_ms + PROBE_RETRY_MS;
             }
             Err(error) => {
                 if member.failures == 0 {
                     decision!(
                         "dependency", service = &*self.context.service, member = &**id,
-                        through = way.through(), reason = error.to_string(); "member lost"
+                        through = path.through(), reason = error.to_string(); "member lost"
                     );
                 }
-                let is_other = ErrorClass::WrongMember;
-                if matches!(error, RelayError::Refused { class } if class == is_other) {
+                let wrong_member = ErrorClass::WrongMember;
+                if matches!(error, RelayError::Refused { class } if class == wrong_member) {
                     member.displaced_since_ms.get_or_insert(now_ms);
                 }
-                member.use_next_way();
+                member.use_next_path();
                 member.failures += 1;
                 member.silent_since_us.get_or_insert(asked_us);
-                member.next_probe_ms = now_ms + FAILED_PAUSE_MS;
+                member.next_probe_ms = now_ms + PROBE_RETRY_MS;
                 member.idle.clear();
                 self.reroute(id);
             }
         }
     }
 
-    /// Answers the proofs that the reports give, and asks for more.
-    pub(super) fn settle_proofs(&mut self) {
+    /// Answers the leadership checks that the reports decide, and requests reports
+    /// for the others.
+    pub(super) fn resolve_leadership_checks(&mut self) {
         let now_us = clock::boot_us();
-        for proof in std::mem::take(&mut self.proofs) {
-            let standing = self.standing(&proof.primary, proof.since_us);
-            let is_late = now_us >= proof.since_us + PROOF_TIMEOUT_US;
+        for check in std::mem::take(&mut self.leadership_checks) {
+            let standing = self.standing(&check.primary, check.since_us);
+            let is_late = now_us >= check.since_us + LEADERSHIP_CHECK_TIMEOUT_US;
             match standing {
                 LeadershipCheck::Confirmed { term } => {
-                    // The caller may have gone away.
-                    let _ = proof.reply.send(Some(term));
+                    // The caller may have disconnected.
+                    let _ = check.reply.send(Some(term));
                 }
                 LeadershipCheck::Pending if is_late => {
-                    let _ = proof.reply.send(None);
+                    let _ = check.reply.send(None);
                 }
                 LeadershipCheck::Pending => {
-                    self.ask_witnesses(&proof.primary, proof.since_us);
-                    self.proofs.push(proof);
+                    self.request_confirmations(&check.primary, check.since_us);
+                    self.leadership_checks.push(check);
                 }
             }
         }
     }
 
-    fn needed(&self) -> usize {
+    /// Number of other members whose reports confirm that a member leads.
+    fn reports_needed(&self) -> usize {
         let now_ms = clock::boot_ms();
         let counted = self.members.values().filter(|m| !m.is_lost(now_ms));
-        term_reports_needed(counted.count(), self.entry.sync_replicas)
+        term_reports_needed(counted.count(), self.config.sync_replicas)
     }
 
     fn standing(&self, primary: &Name, since_us: u64) -> LeadershipCheck {
@@ -217,83 +225,85 @@
             asked_us,
             term: report.term.max(report.held_term),
         });
-        check_leadership(testimonies, since_us, self.needed())
+        check_leadership(testimonies, since_us, self.reports_needed())
     }
 
-    fn ask_witnesses(&mut self, primary: &Name, since_us: u64) {
+    /// Requests reports of the members that are to confirm the primary.
+    fn request_confirmations(&mut self, primary: &Name, since_us: u64) {
         let others: BTreeMap<Name, (u32, u32)> = self
             .members
             .iter()
             .filter(|(id, _)| *id != primary)
             .map(|(id, m)| (id.clone(), (m.distance, m.failures)))
             .collect();
-        let is_slow = clock::boot_us() >= since_us + WIDEN_US;
+        let is_slow = clock::boot_us() >= since_us + ASK_ALL_AFTER_US;
         let needed = match is_slow {
             true => others.len(),
-            false => self.needed(),
+            false => self.reports_needed(),
         };
         for id in members_to_ask(&others, needed) {
-            self.want_report_since(&id, since_us);
+            self.request_report(&id, since_us);
         }
     }
 
-    /// Asks unless a report asked for after `since_us` is there or on its way.
-    pub(super) fn want_report_since(&mut self, id: &Name, since_us: u64) {
+    /// Requests a report whose probe is sent after `since_us`, unless one has arrived
+    /// or such a probe is in flight.
+    pub(super) fn request_report(&mut self, id: &Name, since_us: u64) {
         let Some(member) = self.members.get(id) else {
             return;
         };
         let asked_us = member.report.map(|(asked_us, _)| asked_us);
-        let is_known = asked_us.max(member.probing_us) > Some(since_us);
+        let is_known = asked_us.max(member.probe_sent_us) > Some(since_us);
         if !is_known {
-            self.want_probe(id, since_us);
+            self.request_probe(id, since_us);
         }
     }
 
     pub(super) fn refresh_floor(&mut self) {
-        if self.refresh_since_us.is_none() {
-            self.refresh_since_us = Some(clock::boot_us());
+        if self.floor_refresh_since_us.is_none() {
+            self.floor_refresh_since_us = Some(clock::boot_us());
         }
     }
 
-    /// Takes a new floor once the primary is proved to lead, or once all the
-    /// others have told what they received.
-    pub(super) fn settle_floor(&mut self) {
-        let Some(since_us) = self.refresh_since_us else {
+    /// Raises the floor once the primary is confirmed to lead, or once all other
+    /// members have reported what they received.
+    pub(super) fn resolve_floor_refresh(&mut self) {
+        let Some(since_us) = self.floor_refresh_since_us else {
             return;
         };
         let primary = self.primary.clone();
-        let proved = primary.as_ref();
-        let proved = proved.and_then(|primary| self.proved_position(primary, since_us));
-        let found = match proved {
+        let confirmed = primary.as_ref();
+        let confirmed = confirmed.and_then(|primary| self.confirmed_position(primary, since_us));
+        let found = match confirmed {
             Some(position) => Some((position, "primary")),
             None => self.received_by_others(since_us).map(|p| (p, "replicas")),
         };
         if let Some((position, source)) = found {
-            self.observe(since_us / 1_000, position, source);
-            self.refresh_since_us = None;
+            self.raise_floor(since_us / 1_000, position, source);
+            self.floor_refresh_since_us = None;
             return;
         }
-        if clock::boot_us() >= since_us + PROOF_TIMEOUT_US {
-            self.refresh_since_us = None;
+        if clock::boot_us() >= since_us + LEADERSHIP_CHECK_TIMEOUT_US {
+            self.floor_refresh_since_us = None;
             return;
         }
         match primary {
-            Some(primary) if self.answers(&primary) => {
-                self.want_report_since(&primary, since_us);
-                self.ask_witnesses(&primary, since_us);
+            Some(primary) if self.is_answering(&primary) => {
+                self.request_report(&primary, since_us);
+                self.request_confirmations(&primary, since_us);
             }
-            _ => self.ask_all_since(since_us),
+            _ => self.request_all_reports(since_us),
         }
     }
 
-    pub(super) fn answers(&self, id: &Name) -> bool {
+    pub(super) fn is_answering(&self, id: &Name) -> bool {
         self.members.get(id).is_some_and(|m| m.failures == 0)
     }
 
-    fn ask_all_since(&mut self, since_us: u64) {
+    fn request_all_reports(&mut self, since_us: u64) {
         let members: Vec<Name> = self.members.keys().cloned().collect();
         for id in members {
-            self.want_report_since(&id, since_us);
+            self.request_report(&id, since_us);
         }
     }
 
@@ -303,10 +313,11 @@
         let others = others.filter(|(id, _)| Some(*id) != self.primary.as_ref());
         let others = others.filter(|(_, m)| !m.is_gone(now_ms));
         let received = others.map(|(_, m)| m.report.map(|(at, report)| (at, report.received)));
-        received_by_others(received, since_us, self.entry.sync_replicas)
+        received_by_others(received, since_us, self.config.sync_replicas)
     }
 
-    fn proved_position(&self, primary: &Name, since_us: u64) -> Option<Position> {
+    /// Position of the primary, if reports since `since_us` confirm that it leads.
+    fn confirmed_position(&self, primary: &Name, since_us: u64) -> Option<Position> {
         let (asked_us, report) = self.members.get(primary)?.report?;
         let LeadershipCheck::Confirmed { term } = self.standing(primary, since_us) else {
             return None;
@@ -320,17 +331,14 @@
     matches!(class, ErrorClass::Busy | ErrorClass::ConnectionLimit)
 }
 
-/// The connection that a question goes on.
+/// The connection that a probe is sent on.
 enum ProbeConnection {
     Open(Box<Connection>),
     New(Target, Permit),
 }
 
-async fn ask(
-    connection: ProbeConnection,
-    codec: &MemberCodec,
-) -> Result<(Connection, StatusReport)> {
-    let mut connection = match connection {
+async fn probe(source: ProbeConnection, codec: &MemberCodec) -> Result<(Connection, StatusReport)> {
+    let mut connection = match source {
         ProbeConnection::Open(connection) => *connection,
         ProbeConnection::New(target, permit) => open(target, *codec, permit).await?,
     };
--- a/src/relay/service/reports.rs
+++ b/src/relay/service/reports.rs
@@ -1,30 +1,30 @@
-//! Reports of members that other VMs ask this one for.
+//! Members' status reports requested by other VMs.
 //!
-//! Many VMs ask for the same member; one question to it answers all that came
-//! before it was sent.
+//! Many VMs request the report of the same member. One probe answers all
+//! requests that arrived before it was sent.
 
 use super::*;
 
-/// Time after which a report is given up, in microseconds: shortly before the
-/// VM that asks gives up.
+/// Time after which a request for a report is given up, in microseconds: shortly
+/// before the requesting VM gives up.
 const REPORT_TIMEOUT_US: u64 = 350_000;
 
 impl Service {
-    /// Answers the requests for reports that can be answered.
-    pub(super) fn settle_reports(&mut self) {
+    /// Answers the requests that can be answered, and requests probes for the others.
+    pub(super) fn resolve_reports(&mut self) {
         let now_us = clock::boot_us();
-        for pending in std::mem::take(&mut self.reports) {
+        for pending in std::mem::take(&mut self.pending_reports) {
             if let Some(answer) = self.report_for(&pending, now_us) {
                 // The other VM may have given up.
                 let _ = pending.reply.send(answer);
                 continue;
             }
-            self.want_report_since(&pending.member, pending.since_us);
-            self.reports.push(pending);
+            self.request_report(&pending.member, pending.since_us);
+            self.pending_reports.push(pending);
         }
     }
 
-    /// The answer to a request for a report, once it is known.
+    /// The answer to a request for a report; `None` while it has to wait.
     fn report_for(
         &self,
         pending: &PendingReport,
@@ -33,7 +33,7 @@
         let Some(member) = self.members.get(&pending.member) else {
             return Some(Err(ReportError::NotReached));
         };
-        if *member.way() != MemberPath::Direct {
+        if *member.path() != MemberPath::Direct {
             return Some(Err(ReportError::NotReached));
         }
         match member.report {
--- a/src/relay/takeover.rs
+++ b/src/relay/takeover.rs
@@ -1,4 +1,5 @@
-//! One attempt to replace a primary: claim, fence, choose, promote.
+//! One attempt at a takeover, the replacement of a primary: claim the right, fence
+//! the members, choose a successor, promote it.
 
 use futures::{channel::oneshot, future::join_all};
 use rand::Rng;
@@ -22,54 +23,56 @@
     proxy::connection::Permit,
 };
 
-/// Longest time from the claim to the order to promote, in milliseconds; less
-/// than the time for which others respect the claim.
+/// Longest time from the claim to the promotion order, in milliseconds; less than
+/// the time for which the claim lasts.
 const ATTEMPT_MS: u64 = 2_500;
-/// Longest time of one order to a member: a trip to another region and back,
-/// a new connection, and a full queue there.
+/// Longest time of one order to a member: a round trip to another region, a new
+/// connection, and a full queue there.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(400);
-/// Pause between two rounds of orders, in milliseconds.
+/// Pause between two rounds of orders.
 const ROUND_PAUSE: Duration = Duration::from_millis(50);
-/// Rounds in which replicas may catch up with a primary that stepped down.
+/// Rounds in which replicas may catch up with a primary that has stepped down,
+/// before the primary itself is promoted again.
 const CATCH_UP_ROUNDS: u32 = 4;
-/// The same when a member has come back under an id that is not known yet: it
-/// may hold what the others lack, and is listed within about a second.
-const RETURN_ROUNDS: u32 = 12;
-/// Time from the claim until which a promoted member is waited for, in milliseconds.
-const LEAD_MS: u64 = 4_800;
-/// Time from the claim until which replicas are told to receive again, in
-/// milliseconds: with the order's own time, less than the claim lasts.
+/// The same when a member has restarted under an id that is not known yet: it may
+/// hold commits that the others lack, and is listed within about a second.
+const RESTART_ROUNDS: u32 = 12;
+/// Longest time from the claim to the promoted member's report that it leads, in
+/// milliseconds.
+const LEADERSHIP_MS: u64 = 4_800;
+/// Latest time after the claim at which replicas are ordered to resume, in
+/// milliseconds: with the order's own time-out, less than the claim lasts.
 const RESUME_MS: u64 = 5_300;
 
-/// A member of the group.
+/// A member of the group whose primary is to be replaced.
 #[derive(Clone, Debug)]
 pub struct GroupMember {
-    /// Where it is.
+    /// Target of its direct path.
     pub target: Target,
-    /// Whether it is the primary that is replaced.
+    /// Whether it is the primary to be replaced.
     pub is_primary: bool,
-    /// Whether it is leaving.
+    /// Whether it is leaving, or missing from the list beyond the grace period.
     pub is_leaving: bool,
-    /// Whether it is gone for good.
+    /// Whether it counts as permanently gone.
     pub is_gone: bool,
     /// Whether its address has answered as another member for so long that this
-    /// one, with its log, is not known by another id.
+    /// member can't be the one there, restarted under an id not listed yet.
     pub is_displaced: bool,
 }
 
-/// What an attempt starts from.
+/// Input of an attempt.
 pub struct TakeoverPlan {
-    /// The service.
+    /// Context of the service.
     pub context: ServiceContext,
-    /// Members.
-    pub rivals: Vec<GroupMember>,
-    /// Term of the successor, for the orders to the members.
+    /// Members of the group.
+    pub members: Vec<GroupMember>,
+    /// Term that the members are fenced for.
     pub term: u64,
     /// Why the primary is replaced.
     pub reason: Reason,
 }
 
-/// Runs one attempt and tells the service's task how it ended.
+/// Runs one attempt and reports its end to the service's task.
 pub async fn run(mut plan: TakeoverPlan) {
     let started_ms = clock::boot_ms();
     let authority = plan.context.options.authority.clone();
@@ -90,9 +93,9 @@
     );
     plan.context
         .send(ServiceMessage::TakeoverEnded { promoted });
-    // After an order the claim stays until it ends: another VM must not order
-    // anything soon after.
-    if let Some(claim) = claim.filter(|_| !end.has_ordered) {
+    // After a promotion order the claim is kept until it expires, so that no other
+    // VM gives a conflicting order soon after.
+    if let Some(claim) = claim.filter(|_| !end.has_ordered_promotion) {
         (authority.release)(service, claim).await;
     }
 }
@@ -101,14 +104,13 @@
 #[derive(Default)]
 struct AttemptEnd {
     promoted: Option<Name>,
-    /// Whether a promotion was ordered.
-    has_ordered: bool,
+    has_ordered_promotion: bool,
 }
 
 async fn attempt(plan: &mut TakeoverPlan, claim: &Claim, started_ms: u64) -> AttemptEnd {
     let mut end = AttemptEnd::default();
     if plan.reason == Reason::Unfinished {
-        // The primary is well: its replicas only have to receive again.
+        // The primary is healthy: only its replicas have to resume.
         resume(plan, started_ms).await;
         return end;
     }
@@ -116,8 +118,8 @@
     let mut refused = BTreeSet::new();
     let mut round = 0;
     while clock::boot_ms() < started_ms + ATTEMPT_MS {
-        let fencing = fence(plan, &mut fenced).await;
-        if fencing == Fencing::Outdated {
+        let state = fence(plan, &mut fenced).await;
+        if state == PlanState::Outdated {
             break;
         }
         round += 1;
@@ -132,31 +134,31 @@
             compio::time::sleep(ROUND_PAUSE).await;
             continue;
         };
-        let patience = match fencing {
-            Fencing::Returned => RETURN_ROUNDS,
+        let catch_up_rounds = match state {
+            PlanState::MemberRestarted => RESTART_ROUNDS,
             _ => CATCH_UP_ROUNDS,
         };
-        if plan.is_primary(&member) && round < patience {
+        if plan.is_primary(&member) && round < catch_up_rounds {
             compio::time::sleep(ROUND_PAUSE).await;
-            if fencing == Fencing::Returned {
-                plan.refresh().await;
+            if state == PlanState::MemberRestarted {
+                plan.refresh_members().await;
             }
             continue;
         }
         if clock::boot_ms() >= started_ms + ATTEMPT_MS {
             break;
         }
-        end.has_ordered = true;
+        end.has_ordered_promotion = true;
         match promote(plan, claim, &member).await {
             PromoteOutcome::Accepted => {
-                await_lead(plan, &member, started_ms).await;
+                await_leadership(plan, &member, started_ms).await;
                 end.promoted = Some(member);
                 break;
             }
             PromoteOutcome::Refused => {
                 refused.insert(member);
             }
-            // The order may have been carried out: the same one is sent again.
+            // The order may have been carried out, so the same one is sent again.
             PromoteOutcome::Unknown => {}
         }
     }
@@ -165,118 +167,120 @@
 }
 
 impl TakeoverPlan {
-    /// Takes over the members as the service knows them now; the one that is
+    /// Replaces the members by those that the service knows now. The primary to be
     /// replaced stays the same.
-    async fn refresh(&mut self) {
-        let (reply, rivals) = oneshot::channel();
+    async fn refresh_members(&mut self) {
+        let (reply, members) = oneshot::channel();
         self.context.send(ServiceMessage::GroupMembers { reply });
-        let Ok(mut rivals) = rivals.await else { return };
-        let replaced = self.rivals.iter().find(|r| r.is_primary);
-        let replaced = replaced.map(|r| r.target.member.clone());
-        for rival in &mut rivals {
-            rival.is_primary = Some(&rival.target.member) == replaced.as_ref();
+        let Ok(mut members) = members.await else {
+            return;
+        };
+        let replaced = self.members.iter().find(|m| m.is_primary);
+        let replaced = replaced.map(|m| m.target.member.clone());
+        for member in &mut members {
+            member.is_primary = Some(&member.target.member) == replaced.as_ref();
         }
         decision!(
             "takeover", service = &*self.context.service,
-            before = self.rivals.len(), members = rivals.len();
-            "a member has returned under another id: looking anew"
+            before = self.members.len(), members = members.len();
+            "a member has restarted under another id: members refreshed"
         );
-        self.rivals = rivals;
+        self.members = members;
     }
 
     fn is_primary(&self, member: &Name) -> bool {
-        let mut rivals = self.rivals.iter();
-        rivals.any(|r| r.is_primary && r.target.member == *member)
+        let mut members = self.members.iter();
+        members.any(|m| m.is_primary && m.target.member == *member)
     }
 }
 
-/// What became of an order to stop.
-enum Order {
+/// Outcome of the fencing of one member.
+enum FenceOutcome {
     Fenced(Name, Fenced),
-    /// The member leads without being the one that is replaced.
+    /// The member leads, but is not the primary to be replaced.
     Leads,
-    /// Another member answers at its address, since a moment ago.
-    Returned,
-    Missed,
+    /// Another member answers at its address, since recently: this one has probably
+    /// restarted under a new id.
+    Restarted,
+    NotFenced,
 }
 
-/// What the orders to stop showed of the plan.
+/// Whether the plan still holds, as a round of fencing has shown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Fencing {
-    /// It is as the members are.
+enum PlanState {
     Current,
-    /// A member has come back under an id that the plan does not know.
-    Returned,
+    /// A member has restarted under an id that the plan does not know.
+    MemberRestarted,
     /// Another member leads already.
     Outdated,
 }
 
-/// Orders all members that are not fenced yet to stop, at once.
-async fn fence(plan: &TakeoverPlan, fenced: &mut BTreeMap<Name, Fenced>) -> Fencing {
-    let open = plan.rivals.iter();
-    let open = open.filter(|r| !fenced.contains_key(&r.target.member));
-    let orders = join_all(open.map(|rival| order_to_stop(plan, rival))).await;
-    let mut fencing = Fencing::Current;
-    for order in orders {
-        match order {
-            Order::Fenced(member, answer) => {
+/// Fences all members that are not fenced yet, in parallel.
+async fn fence(plan: &TakeoverPlan, fenced: &mut BTreeMap<Name, Fenced>) -> PlanState {
+    let unfenced = plan.members.iter();
+    let unfenced = unfenced.filter(|m| !fenced.contains_key(&m.target.member));
+    let outcomes = join_all(unfenced.map(|member| fence_member(plan, member))).await;
+    let mut state = PlanState::Current;
+    for outcome in outcomes {
+        match outcome {
+            FenceOutcome::Fenced(member, answer) => {
                 fenced.insert(member, answer);
             }
-            Order::Leads => return Fencing::Outdated,
-            Order::Returned => fencing = Fencing::Returned,
-            Order::Missed => {}
+            FenceOutcome::Leads => return PlanState::Outdated,
+            FenceOutcome::Restarted => state = PlanState::MemberRestarted,
+            FenceOutcome::NotFenced => {}
         }
     }
-    fencing
+    state
 }
 
-async fn order_to_stop(plan: &TakeoverPlan, rival: &GroupMember) -> Order {
+async fn fence_member(plan: &TakeoverPlan, group_member: &GroupMember) -> FenceOutcome {
     let term = plan.term;
-    let order = match rival.is_primary {
+    let order = match group_member.is_primary {
         true => MemberRequest::StepDown { term },
         false => MemberRequest::Hold { term },
     };
-    let member = &rival.target.member;
-    let report = match order_member(plan, &rival.target, &order).await {
+    let member = &group_member.target.member;
+    let report = match order_member(plan, &group_member.target, &order).await {
         Ok(report) => report,
         Err(error) => {
             decision!(
                 "takeover", service = &*plan.context.service, member = &**member,
                 reason = error.to_string(); "member not reached"
             );
-            let is_other = matches!(
+            let is_wrong_member = matches!(
                 error,
                 RelayError::Refused {
                     class: ErrorClass::WrongMember
                 }
             );
-            return match is_other && !rival.is_displaced {
-                true => Order::Returned,
-                false => Order::Missed,
+            return match is_wrong_member && !group_member.is_displaced {
+                true => FenceOutcome::Restarted,
+                false => FenceOutcome::NotFenced,
             };
         }
     };
-    if is_fenced(plan, rival, &report) {
+    if is_fenced(plan, group_member, &report) {
         let received = report.received;
-        return Order::Fenced(member.clone(), Fenced { received });
+        return FenceOutcome::Fenced(member.clone(), Fenced { received });
     }
     decision!(
         "takeover", service = &*plan.context.service, member = &**member,
         report = format!("{report:?}"); "member not fenced"
     );
-    match report.role == Role::Primary && !rival.is_primary {
-        true => Order::Leads,
-        false => Order::Missed,
+    match report.role == Role::Primary && !group_member.is_primary {
+        true => FenceOutcome::Leads,
+        false => FenceOutcome::NotFenced,
     }
 }
 
-/// A primary is fenced once it follows; a replica once it does not receive. A
-/// replica that turns out to lead is not.
-fn is_fenced(plan: &TakeoverPlan, rival: &GroupMember, report: &StatusReport) -> bool {
+/// The primary is fenced once it has stepped down to a replica, a replica once it
+/// has stopped receiving. A replica that turns out to lead is not fenced.
+fn is_fenced(plan: &TakeoverPlan, group_member: &GroupMember, report: &StatusReport) -> bool {
     if report.role == Role::Primary {
         return false;
     }
-    rival.is_primary || report.held_term >= plan.term
+    group_member.is_primary || report.held_term >= plan.term
 }
 
 fn candidates(
@@ -284,18 +288,18 @@
     fenced: &BTreeMap<Name, Fenced>,
     refused: &BTreeSet<Name>,
 ) -> Vec<Candidate> {
-    let rivals = plan.rivals.iter().map(|rival| {
-        let member = &rival.target.member;
+    let members = plan.members.iter().map(|group_member| {
+        let member = &group_member.target.member;
         let is_refused = refused.contains(member);
         Candidate {
             member: member.clone(),
-            is_primary: rival.is_primary,
-            is_leaving: rival.is_leaving || is_refused,
-            is_gone: rival.is_gone,
+            is_primary: group_member.is_primary,
+            is_leaving: group_member.is_leaving || is_refused,
+            is_gone: group_member.is_gone,
             fenced: fenced.get(member).copied().filter(|_| !is_refused),
         }
     });
-    rivals.collect()
+    members.collect()
 }
 
 async fn order_member(
@@ -305,7 +309,7 @@
 ) -> Result<StatusReport> {
     let codec: MemberCodec = plan.context.options.codecs.member;
     let call = async {
-        // These connections are few and short: they are not counted.
+        // These connections are few and short-lived, so they are not counted.
         let permit = Permit::new(|| {});
         let mut connection = open(target.clone(), codec, permit).await?;
         exchange::request_report(&mut connection, &codec, order).await
@@ -333,12 +337,12 @@
     outcome
 }
 
-/// Waits until the member leads, as it says itself.
-async fn await_lead(plan: &TakeoverPlan, member: &Name, started_ms: u64) {
-    let rival = plan.rivals.iter().find(|r| r.target.member == *member);
-    let Some(rival) = rival else { return };
-    while clock::boot_ms() < started_ms + LEAD_MS {
-        let report = order_member(plan, &rival.target, &MemberRequest::Status).await;
+/// Waits until the member reports that it leads.
+async fn await_leadership(plan: &TakeoverPlan, member: &Name, started_ms: u64) {
+    let promoted = plan.members.iter().find(|m| m.target.member == *member);
+    let Some(promoted) = promoted else { return };
+    while clock::boot_ms() < started_ms + LEADERSHIP_MS {
+        let report = order_member(plan, &promoted.target, &MemberRequest::Status).await;
         if report.is_ok_and(|r| r.role == Role::Primary) {
             return;
         }
@@ -347,20 +351,20 @@
     }
 }
 
-/// Lets the replicas receive again. Once the claim is about to end that is left
-/// to the next attempt, which may have told them to stop.
+/// Lets the replicas receive again. Shortly before the claim expires this is left
+/// to the next attempt, which may already have fenced them.
 async fn resume(plan: &TakeoverPlan, started_ms: u64) {
     if clock::boot_ms() >= started_ms + RESUME_MS {
-        decision!("takeover", service = &*plan.context.service; "replicas left held");
+        decision!("takeover", service = &*plan.context.service; "claim about to expire; replicas not resumed");
         return;
     }
-    let held = plan.rivals.iter().filter(|r| !r.is_primary && !r.is_gone);
-    let orders = held.map(|r| async move {
-        let result = order_member(plan, &r.target, &MemberRequest::Resume).await;
+    let held = plan.members.iter().filter(|m| !m.is_primary && !m.is_gone);
+    let orders = held.map(|m| async move {
+        let result = order_member(plan, &m.target, &MemberRequest::Resume).await;
         if let Err(error) = result {
             decision!(
                 "takeover", service = &*plan.context.service,
-                member = &*r.target.member, reason = error.to_string();
+                member = &*m.target.member, reason = error.to_string();
                 "member not resumed"
             );
         }
