--- a/src/relay/takeover.rs
+++ b/src/relay/takeover.rs
@@ -177,8 +177,8 @@
         };
         let replaced = self.members.iter().find(|m| m.is_primary);
         let replaced = replaced.map(|m| m.target.member.clone());
-        for member in &mut members {
-            member.is_primary = Some(&member.target.member) == replaced.as_ref();
+        for group_member in &mut members {
+            group_member.is_primary = Some(&group_member.target.member) == replaced.as_ref();
         }
         decision!(
             "takeover", service = &*self.context.service,
@@ -339,10 +339,12 @@
 
 /// Waits until the member reports that it leads.
 async fn await_leadership(plan: &TakeoverPlan, member: &Name, started_ms: u64) {
-    let promoted = plan.members.iter().find(|m| m.target.member == *member);
-    let Some(promoted) = promoted else { return };
+    let group_member = plan.members.iter().find(|m| m.target.member == *member);
+    let Some(group_member) = group_member else {
+        return;
+    };
     while clock::boot_ms() < started_ms + LEADERSHIP_MS {
-        let report = order_member(plan, &promoted.target, &MemberRequest::Status).await;
+        let report = order_member(plan, &group_member.target, &MemberRequest::Status).await;
         if report.is_ok_and(|r| r.role == Role::Primary) {
             return;
         }
