--- a/src/relay/service/probe.rs
+++ b/src/relay/service/probe.rs
@@ -95,7 +95,7 @@
             0 if path == *member.path() => member.take_idle(&SessionVariables::new()),
             _ => None,
         };
-        let source = match idle {
+        let probe_connection = match idle {
             Some(connection) => ProbeConnection::Open(Box::new(connection)),
             None => ProbeConnection::New(target, self.count_open(id)),
         };
@@ -103,7 +103,8 @@
         let member = id.clone();
         compio::runtime::spawn(async move {
             let codec = context.options.codecs.member;
-            let result = compio::time::timeout(PROBE_TIMEOUT, probe(source, &codec)).await;
+            let result =
+                compio::time::timeout(PROBE_TIMEOUT, probe(probe_connection, &codec)).await;
             let result = result.unwrap_or(Err(RelayError::Timeout));
             context.send(ServiceMessage::Probed {
                 member,
@@ -337,8 +338,11 @@
     New(Target, Permit),
 }
 
-async fn probe(source: ProbeConnection, codec: &MemberCodec) -> Result<(Connection, StatusReport)> {
-    let mut connection = match source {
+async fn probe(
+    probe_connection: ProbeConnection,
+    codec: &MemberCodec,
+) -> Result<(Connection, StatusReport)> {
+    let mut connection = match probe_connection {
         ProbeConnection::Open(connection) => *connection,
         ProbeConnection::New(target, permit) => open(target, *codec, permit).await?,
     };
--- a/src/relay/takeover.rs
+++ b/src/relay/takeover.rs
@@ -219,7 +219,7 @@
 async fn fence(plan: &TakeoverPlan, fenced: &mut BTreeMap<Name, Fenced>) -> PlanState {
     let unfenced = plan.members.iter();
     let unfenced = unfenced.filter(|m| !fenced.contains_key(&m.target.member));
-    let outcomes = join_all(unfenced.map(|member| fence_member(plan, member))).await;
+    let outcomes = join_all(unfenced.map(|m| fence_member(plan, m))).await;
     let mut state = PlanState::Current;
     for outcome in outcomes {
         match outcome {
