--- a/src/relay/member.rs
+++ b/src/relay/member.rs
@@ -170,7 +170,7 @@
     }
 
     /// Whether its drain time is over: it must get no requests, even as the primary.
-    pub fn is_closed(&self, drain_ms: u64, now_ms: u64) -> bool {
+    pub fn is_drained(&self, drain_ms: u64, now_ms: u64) -> bool {
         let since_ms = self.leaving_since_ms.or(self.unlisted_since_ms);
         let limit_ms = drain_ms.saturating_sub(DRAIN_MARGIN_MS);
         since_ms.is_some_and(|since_ms| now_ms >= since_ms + limit_ms)
--- a/src/relay/service.rs
+++ b/src/relay/service.rs
@@ -92,7 +92,7 @@
     floor_refresh_since_us: Option<u64>,
     ages: AgeTracker,
     /// Set while a commit at the primary is late.
-    stuck: Option<StuckCommit>,
+    stuck_commit: Option<StuckCommit>,
     takeover: Takeover,
 }
 
@@ -145,7 +145,7 @@
         pending_reports: Vec::new(),
         floor_refresh_since_us: None,
         ages: AgeTracker::default(),
-        stuck: None,
+        stuck_commit: None,
         takeover: Takeover::Idle,
     };
     loop {
@@ -213,7 +213,7 @@
                 self.raise_floor(since_ms, position, "statement");
             }
             ServiceMessage::Suspect { member, is_commit } => self.suspect(&member, is_commit),
-            ServiceMessage::Committed => self.stuck = None,
+            ServiceMessage::Committed => self.stuck_commit = None,
             ServiceMessage::NotPrimary { member } => self.not_primary(&member),
             ServiceMessage::Behind { member } => self.mark_behind(&member),
             ServiceMessage::Members { members } => self.change_members(members),
@@ -239,7 +239,7 @@
         self.route_waiting();
         let members: Vec<Name> = self.members.keys().cloned().collect();
         for member in &members {
-            match self.is_closed(member) {
+            match self.is_drained(member) {
                 true => self.reroute(member),
                 false => self.serve_queue(member),
             }
@@ -309,7 +309,7 @@
         if found.is_none() {
             self.primary_missing_since_ms = clock::boot_ms();
         }
-        self.stuck = None;
+        self.stuck_commit = None;
         self.primary = found;
     }
 }
--- a/src/relay/service/grant.rs
+++ b/src/relay/service/grant.rs
@@ -47,7 +47,7 @@
 
     /// Serves a request of another VM for a connection to one member.
     fn acquire_forwarded(&mut self, acquire: Acquire, member: &Name) {
-        if self.has_direct_path(member) && !self.is_closed(member) {
+        if self.has_direct_path(member) && !self.is_drained(member) {
             return self.serve_on(member, acquire);
         }
         refuse(
@@ -66,13 +66,13 @@
 
     fn acquire_primary(&mut self, acquire: Acquire) {
         let primary = self.primary.clone();
-        let usable = primary.filter(|p| self.is_answering(p) && !self.is_closed(p));
+        let usable = primary.filter(|p| self.is_answering(p) && !self.is_drained(p));
         if self.is_cut_off() {
             return refuse_cut_off(acquire);
         }
         match usable {
             // While commits wait for a replica, further ones would wait as well.
-            Some(primary) if !self.is_stuck() => self.serve_on(&primary, acquire),
+            Some(primary) if !self.has_stuck_commit() => self.serve_on(&primary, acquire),
             _ => self.waiting_primary.push(acquire),
         }
     }
@@ -91,15 +91,15 @@
         self.waiting_floor.push(acquire);
     }
 
-    pub(super) fn is_closed(&self, id: &Name) -> bool {
+    pub(super) fn is_drained(&self, id: &Name) -> bool {
         let drain_ms = self.context.options.drain_ms;
         let now_ms = clock::boot_ms();
         let member = self.members.get(id);
-        member.is_some_and(|m| m.is_closed(drain_ms, now_ms))
+        member.is_some_and(|m| m.is_drained(drain_ms, now_ms))
     }
 
-    fn is_stuck(&self) -> bool {
-        self.stuck.is_some_and(|stuck| stuck.is_lacking())
+    fn has_stuck_commit(&self) -> bool {
+        self.stuck_commit.is_some_and(|commit| commit.is_lacking())
     }
 
     fn is_cut_off(&self) -> bool {
--- a/src/relay/service/paths.rs
+++ b/src/relay/service/paths.rs
@@ -26,11 +26,11 @@
         let own = &self.context.options.vm;
         let region = self.context.options.region();
         let regions: BTreeSet<&Name> = places.values().map(|place| &place.region).collect();
-        let here = places.values().filter(|place| place.region == *region);
-        let here = here.count();
+        let in_region = places.values().filter(|place| place.region == *region);
+        let in_region = in_region.count();
         for (id, member) in &mut self.members {
             let chosen = holders(id, connections_max, places, region);
-            let holders = chosen.map_or(here, |chosen| chosen.len());
+            let holders = chosen.map_or(in_region, |chosen| chosen.len());
             let before = member.path().clone();
             let paths = member_paths(own, id, connections_max, places);
             member.set_paths(paths, regions.len(), holders);
@@ -67,7 +67,7 @@
 
     /// Whether this VM is meant to connect directly to some of the members. Only such
     /// VMs replace the service's primary.
-    pub(super) fn has_own_members(&self) -> bool {
+    pub(super) fn connects_to_any_member(&self) -> bool {
         self.members.values().any(Member::prefers_direct)
     }
 
--- a/src/relay/service/probe.rs
+++ b/src/relay/service/probe.rs
@@ -146,7 +146,7 @@
                     false => None,
                 };
                 member.report = Some((asked_us, report));
-                self.update_stuck(id, &report);
+                self.update_stuck_commit(id, &report);
                 self.release(connection, false, None);
             }
             // The best path is only tried again while another one works.
@@ -194,9 +194,9 @@
     pub(super) fn resolve_leadership_checks(&mut self) {
         let now_us = clock::boot_us();
         for check in std::mem::take(&mut self.leadership_checks) {
-            let standing = self.standing(&check.primary, check.since_us);
+            let leadership = self.leadership(&check.primary, check.since_us);
             let is_late = now_us >= check.since_us + LEADERSHIP_CHECK_TIMEOUT_US;
-            match standing {
+            match leadership {
                 LeadershipCheck::Confirmed { term } => {
                     // The caller may have disconnected.
                     let _ = check.reply.send(Some(term));
@@ -219,14 +219,15 @@
         term_reports_needed(counted.count(), self.config.sync_replicas)
     }
 
-    fn standing(&self, primary: &Name, since_us: u64) -> LeadershipCheck {
+    /// Whether the other members' reports since `since_us` confirm the primary.
+    fn leadership(&self, primary: &Name, since_us: u64) -> LeadershipCheck {
         let others = self.members.iter().filter(|(id, _)| *id != primary);
         let reports = others.filter_map(|(_, m)| m.report);
-        let testimonies = reports.map(|(asked_us, report)| TermReport {
+        let term_reports = reports.map(|(asked_us, report)| TermReport {
             asked_us,
             term: report.term.max(report.held_term),
         });
-        check_leadership(testimonies, since_us, self.reports_needed())
+        check_leadership(term_reports, since_us, self.reports_needed())
     }
 
     /// Requests reports of the members that are to confirm the primary.
@@ -320,7 +321,7 @@
     /// Position of the primary, if reports since `since_us` confirm that it leads.
     fn confirmed_position(&self, primary: &Name, since_us: u64) -> Option<Position> {
         let (asked_us, report) = self.members.get(primary)?.report?;
-        let LeadershipCheck::Confirmed { term } = self.standing(primary, since_us) else {
+        let LeadershipCheck::Confirmed { term } = self.leadership(primary, since_us) else {
             return None;
         };
         let leads = asked_us > since_us && report.confirms_leadership(term);
--- a/src/relay/service/watch.rs
+++ b/src/relay/service/watch.rs
@@ -36,7 +36,7 @@
     /// Requests a probe of a member on which a statement failed or is late.
     pub(super) fn suspect(&mut self, id: &Name, is_commit: bool) {
         if is_commit && self.primary.as_ref() == Some(id) {
-            self.stuck.get_or_insert_default();
+            self.stuck_commit.get_or_insert_default();
         }
         self.request_probe(id, clock::boot_us());
     }
@@ -53,12 +53,14 @@
     }
 
     /// Compares a report with the commit that is late.
-    pub(super) fn update_stuck(&mut self, id: &Name, report: &StatusReport) {
-        let Some(stuck) = &mut self.stuck else { return };
+    pub(super) fn update_stuck_commit(&mut self, id: &Name, report: &StatusReport) {
+        let Some(stuck_commit) = &mut self.stuck_commit else {
+            return;
+        };
         if self.primary.as_ref() == Some(id) {
-            stuck.note_primary(report.received);
-        } else if stuck.note_replica(report.received, clock::boot_ms()) {
-            self.stuck = None;
+            stuck_commit.note_primary(report.received);
+        } else if stuck_commit.note_replica(report.received, clock::boot_ms()) {
+            self.stuck_commit = None;
         }
     }
 
@@ -74,9 +76,11 @@
         let held = answering.filter_map(|m| m.held_since_us).min();
         let mut health = PrimaryHealth {
             held_ms: held.map_or(0, |at| now_us.saturating_sub(at) / 1_000),
-            stuck_ms: self.stuck.map_or(0, |stuck| stuck.stuck_ms(now_ms)),
+            stuck_ms: self
+                .stuck_commit
+                .map_or(0, |commit| commit.stuck_ms(now_ms)),
             missing_ms: now_ms.saturating_sub(self.primary_missing_since_ms),
-            connects_to_any_member: self.has_own_members(),
+            connects_to_any_member: self.connects_to_any_member(),
             ..PrimaryHealth::default()
         };
         let Some((id, primary)) = self
@@ -129,7 +133,7 @@
         let is_suspected = !health.is_known
             || health.failures > 0
             || health.is_leaving
-            || self.stuck.is_some()
+            || self.stuck_commit.is_some()
             || health.held_ms > 0;
         if !is_suspected {
             return;
@@ -191,7 +195,7 @@
         self.takeover = Takeover::CoolingDown {
             until_ms: now_ms + COOLDOWN_MS,
         };
-        self.stuck = None;
+        self.stuck_commit = None;
         match promoted {
             Some(id) => self.request_probe(&id, clock::boot_us()),
             None => self.request_all_probes(),
--- a/src/relay/takeover.rs
+++ b/src/relay/takeover.rs
@@ -357,7 +357,10 @@
 /// to the next attempt, which may already have fenced them.
 async fn resume(plan: &TakeoverPlan, started_ms: u64) {
     if clock::boot_ms() >= started_ms + RESUME_MS {
-        decision!("takeover", service = &*plan.context.service; "claim about to expire; replicas not resumed");
+        decision!(
+            "takeover", service = &*plan.context.service;
+            "claim about to expire; replicas not resumed"
+        );
         return;
     }
     let held = plan.members.iter().filter(|m| !m.is_primary && !m.is_gone);
