--- a/src/relay/service/probe.rs
+++ b/src/relay/service/probe.rs
@@ -244,13 +244,13 @@
             false => self.reports_needed(),
         };
         for id in members_to_ask(&others, needed) {
-            self.request_report(&id, since_us);
+            self.request_report_since(&id, since_us);
         }
     }
 
     /// Requests a report whose probe is sent after `since_us`, unless one has arrived
     /// or such a probe is in flight.
-    pub(super) fn request_report(&mut self, id: &Name, since_us: u64) {
+    pub(super) fn request_report_since(&mut self, id: &Name, since_us: u64) {
         let Some(member) = self.members.get(id) else {
             return;
         };
@@ -291,7 +291,7 @@
         }
         match primary {
             Some(primary) if self.is_answering(&primary) => {
-                self.request_report(&primary, since_us);
+                self.request_report_since(&primary, since_us);
                 self.request_confirmations(&primary, since_us);
             }
             _ => self.request_all_reports(since_us),
@@ -305,7 +305,7 @@
     fn request_all_reports(&mut self, since_us: u64) {
         let members: Vec<Name> = self.members.keys().cloned().collect();
         for id in members {
-            self.request_report(&id, since_us);
+            self.request_report_since(&id, since_us);
         }
     }
 
--- a/src/relay/service/reports.rs
+++ b/src/relay/service/reports.rs
@@ -19,7 +19,7 @@
                 let _ = pending.reply.send(answer);
                 continue;
             }
-            self.request_report(&pending.member, pending.since_us);
+            self.request_report_since(&pending.member, pending.since_us);
             self.pending_reports.push(pending);
         }
     }
