--- a/src/proxy/caller.rs
+++ b/src/proxy/caller.rs
@@ -1,4 +1,4 @@
-//! The task of one caller.
+//! The session of one caller: reads its requests and answers them.
 
 mod attempt;
 mod conclude;
@@ -10,18 +10,18 @@
 use pgwire::messages::response::TransactionStatus;
 
 use super::{
-    cancel::Running,
+    cancel::RunningRequest,
     connection::{Connection, ConnectionTarget},
     context::Context,
     error::{ProxyError, Refusal, Result},
-    exchange::{Answer, Exchange, ExchangeError, IDLE},
+    exchange::{Answer, Exchange, ExchangeError, IDLE_STATUS},
     frame::{Frame, from_caller},
     local, message,
-    request::{Ending, Request, gather},
+    request::{Ending, Request, read_request},
     route_table::Route,
     session::{Session, TOKEN_PARAMETER},
-    slot::{SlotHandle, Want},
-    startup::{self, Opening},
+    slot::{Access, SlotHandle},
+    startup::{self, StartupRequest},
     wire::Wire,
 };
 use crate::{
@@ -37,34 +37,35 @@
     settings::Authentication,
 };
 
-/// Longest time for a caller to finish its start.
+/// Longest time for a caller to send its startup message.
 const STARTUP_TIMEOUT: Duration = Duration::from_secs(10);
-/// Longest time to find out what became of an unconfirmed commit, in
-/// milliseconds.
-const FATE_MS: u64 = 8_000;
-/// Longest wait for a caller to close after it was refused: a few round trips.
-const FINISH_TIMEOUT: Duration = Duration::from_millis(500);
-/// Delays between attempts at a request that was proved not run.
+/// Longest time to find out whether an unconfirmed commit survived a change of
+/// primary.
+const COMMIT_RESOLUTION_TIMEOUT_MS: u64 = 8_000;
+/// Longest wait for a refused caller to close its side: a few round trips.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Delays between attempts at a request that may be repeated.
 const RETRY_BACKOFF: Backoff = Backoff {
     base_ms: 5,
     max_ms: 100,
 };
-/// Severity of an error after which the connection goes on.
+/// Severity of an error that leaves the connection open.
 const ERROR: &str = "ERROR";
-/// Severity of an error after which the connection ends.
+/// Severity of an error that closes the connection.
 const FATAL: &str = "FATAL";
 
-/// Which listener a caller came through.
+/// Listener that accepted a caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListenerKind {
     /// The listener for callers.
     Public,
-    /// The listener for callers that other VMs forward.
+    /// The listener for requests that other VMs forward.
     Internal,
 }
 
-/// A connection that a request uses, with where it came from.
-struct Held {
+/// A connection in use by a request or transaction, and the slot that it is
+/// returned to; without a slot it is from the peer pool.
+struct BorrowedConnection {
     connection: Connection,
     slot: Option<SlotHandle>,
     since_us: u64,
@@ -73,35 +74,36 @@
 
 /// How an attempt ended.
 enum Attempt {
-    /// The answer was queued, or the request refused for good.
+    /// The answer or a final refusal is queued for the caller.
     Done,
-    /// The request was not run, or may be repeated.
-    Again(Refusal),
+    /// The request was not run or is safe to repeat; the refusal is sent if the
+    /// deadline has passed.
+    Retry(Refusal),
 }
 
 struct Caller {
     wire: Wire,
     session: Session,
     context: Context,
-    entry: ListenerKind,
+    listener_kind: ListenerKind,
     key: (i32, i32),
-    held: Option<Held>,
+    borrowed: Option<BorrowedConnection>,
 }
 
-/// Serves a caller until it leaves.
-pub async fn serve(context: Context, stream: TcpStream, entry: ListenerKind) {
+/// Serves a caller until its connection ends.
+pub async fn serve(context: Context, stream: TcpStream, listener_kind: ListenerKind) {
     let mut wire = Wire::new(stream, context.settings.request_max_bytes);
-    let opening = compio::time::timeout(STARTUP_TIMEOUT, startup::read_opening(&mut wire)).await;
-    let started = match opening {
-        Ok(Ok(Opening::Session(started))) => started,
-        Ok(Ok(Opening::Cancel(request))) => return context.cancels.cancel(&request).await,
+    let request = compio::time::timeout(STARTUP_TIMEOUT, startup::read_startup(&mut wire)).await;
+    let startup = match request {
+        Ok(Ok(StartupRequest::Session(startup))) => startup,
+        Ok(Ok(StartupRequest::Cancel(request))) => return context.cancels.cancel(&request).await,
         Ok(Err(ProxyError::Closed)) | Err(_) => return,
         Ok(Err(error)) => {
             let refusal = Refusal::new(Code::ProtocolViolation, error.to_string());
             return refuse_and_close(&mut wire, &refusal).await;
         }
     };
-    let session = match admit(&context, &started, entry).await {
+    let session = match admit(&context, &startup, listener_kind).await {
         Ok(session) => session,
         Err(refusal) => return refuse_and_close(&mut wire, &refusal).await,
     };
@@ -111,9 +113,9 @@
         wire,
         session,
         context: context.clone(),
-        entry,
+        listener_kind,
         key,
-        held: None,
+        borrowed: None,
     };
     if let Err(error) = caller.run().await {
         log::debug!(target: "caller", "connection ended: {error}");
@@ -124,25 +126,25 @@
 
 async fn admit(
     context: &Context,
-    started: &pgwire::messages::startup::Startup,
-    entry: ListenerKind,
+    startup: &pgwire::messages::startup::Startup,
+    listener_kind: ListenerKind,
 ) -> std::result::Result<Session, Refusal> {
     if context.is_draining() {
         return Err(Refusal::new(Code::Stopping, "this VM is stopping"));
     }
     let trusts = context.settings.authentication == Authentication::Trust;
-    if entry == ListenerKind::Public && !trusts {
+    if listener_kind == ListenerKind::Public && !trusts {
         let text = "authentication is not set up on this listener";
         return Err(Refusal::new(Code::StartupRefused, text));
     }
-    let session = startup::start_session(started)?;
+    let session = startup::start_session(startup)?;
     context.find_route(&session.service, false).await?;
     Ok(session)
 }
 
 async fn refuse_and_close(wire: &mut Wire, refusal: &Refusal) {
     message::put_refusal(wire.output(), FATAL, refusal);
-    if let Err(error) = wire.finish(FINISH_TIMEOUT).await {
+    if let Err(error) = wire.close_gracefully(CLOSE_TIMEOUT).await {
         // The connection ends either way.
         log::debug!(target: "caller", "connection not closed in order: {error}");
     }
@@ -150,14 +152,14 @@
 
 impl Caller {
     async fn run(&mut self) -> Result<()> {
-        startup::put_welcome(&mut self.wire, &self.session, self.key);
+        startup::put_startup_reply(&mut self.wire, &self.session, self.key);
         self.wire.flush().await?;
         while let Some(first) = self.next_request().await? {
             if first.tag() == from_caller::TERMINATE {
                 return Ok(());
             }
             let max_bytes = self.context.settings.request_max_bytes;
-            let request = gather(first, &mut self.wire, &mut self.session, max_bytes).await;
+            let request = read_request(first, &mut self.wire, &mut self.session, max_bytes).await;
             let request = match request {
                 Ok(request) => request,
                 Err(error) => return self.refuse_connection(error).await,
@@ -168,18 +170,19 @@
         Ok(())
     }
 
-    /// Waits for the first message of a request; `None` once the VM is
-    /// stopping and no request or transaction is open.
+    /// Waits for the first message of a request. Returns `None` when the caller
+    /// has closed or was refused, or when the VM is stopping; an open
+    /// transaction may finish first.
     async fn next_request(&mut self) -> Result<Option<Frame>> {
-        if let Some(frame) = self.take_first().await? {
+        if let Some(frame) = self.take_buffered().await? {
             return Ok(Some(frame));
         }
         let mut draining = self.context.draining.clone();
-        let may_leave = self.held.is_none();
+        let may_stop = self.borrowed.is_none();
         let frame = {
             let next = pin!(self.wire.next_frame());
             let stopping = pin!(async {
-                match may_leave {
+                match may_stop {
                     true => draining.wait_for(|is_draining| *is_draining).await.is_ok(),
                     false => futures::future::pending().await,
                 }
@@ -205,7 +208,7 @@
         }
     }
 
-    async fn take_first(&mut self) -> Result<Option<Frame>> {
+    async fn take_buffered(&mut self) -> Result<Option<Frame>> {
         match self.wire.take_frame() {
             Err(error) => {
                 self.refuse_connection(error).await?;
@@ -239,7 +242,7 @@
         }
         match request.class {
             Class::Own | Class::Session => {
-                let status = match self.held {
+                let status = match self.borrowed {
                     Some(_) => TransactionStatus::Transaction,
                     None => TransactionStatus::Idle,
                 };
@@ -259,10 +262,10 @@
         self.attempt_until_deadline(request).await
     }
 
-    /// Refuses a request. An open transaction is rolled back with its
-    /// connection: the caller is told that none is open.
+    /// Refuses a request. Dropping the connection rolls back an open
+    /// transaction, so the caller is told that none is open.
     fn refuse(&mut self, request: &Request, refusal: &Refusal) {
-        self.held = None;
+        self.borrowed = None;
         self.count_refusal(refusal);
         message::put_refusal(self.wire.output(), ERROR, refusal);
         if request.ending != Ending::Flush {
@@ -283,31 +286,34 @@
     }
 }
 
-/// Finds out what became of a commit whose term ended before it was confirmed;
-/// its position in the new term if it survived.
-async fn find_fate(slot: &SlotHandle, commit: Commit) -> std::result::Result<Position, Refusal> {
+/// Finds out whether a commit whose term ended before it was confirmed survived
+/// the change of primary. Returns its position in the new term if it did.
+async fn resolve_commit(
+    slot: &SlotHandle,
+    commit: Commit,
+) -> std::result::Result<Position, Refusal> {
     let unknown = |text: &str| Refusal::new(Code::CommitUnconfirmed, text);
-    let deadline_ms = clock::now_ms() + FATE_MS;
+    let deadline_ms = clock::now_ms() + COMMIT_RESOLUTION_TIMEOUT_MS;
     let floor = Floor::Unknown;
-    let granted = slot.acquire(Want::Begin { floor }, deadline_ms).await;
+    let granted = slot.acquire(Access::Begin { floor }, deadline_ms).await;
     let mut granted = granted.map_err(|_| unknown("no primary tells what became of the commit"))?;
-    let (Some(now), ConnectionTarget::Member { member, term }) =
+    let (Some(barrier), ConnectionTarget::Member { member, term }) =
         (granted.floor, granted.connection.target.clone())
     else {
         return Err(unknown("no primary tells what became of the commit"));
     };
-    if term != now.term {
+    if term != barrier.term {
         return Err(unknown("the primary changed again meanwhile"));
     }
-    let asked = super::status_query::term_at(&mut granted.connection, commit.position.lsn);
-    let found = compio::time::timeout(clock::until(deadline_ms), asked).await;
-    let Ok(Ok(found)) = found else {
+    let query = super::status_query::term_at(&mut granted.connection, commit.position.lsn);
+    let found_term = compio::time::timeout(clock::until(deadline_ms), query).await;
+    let Ok(Ok(found_term)) = found_term else {
         return Err(unknown(
             "the new primary did not tell what became of the commit",
         ));
     };
     slot.release(granted.connection, true, 0);
-    match commit_outcome(&commit, now, member, found) {
+    match commit_outcome(&commit, barrier, member, found_term) {
         CommitOutcome::Discarded => {
             let text = "the primary failed before the commit was safe; it was not run";
             Err(Refusal::new(Code::TransactionDiscarded, text))
--- a/src/proxy/caller/attempt.rs
+++ b/src/proxy/caller/attempt.rs
@@ -1,9 +1,9 @@
-//! Attempts at a request: a connection is borrowed and the request sent.
+//! Attempts at a request: acquires a connection and sends the request on it.
 
 use super::*;
 
 impl Caller {
-    /// Runs a request, again if it is proved that it was not run.
+    /// Runs a request. Repeats it until the deadline while that is safe.
     pub(super) async fn attempt_until_deadline(&mut self, request: &Request) -> Result<()> {
         let route = match self.context.find_route(&self.session.service, false).await {
             Ok(route) => route,
@@ -19,7 +19,7 @@
             let attempt = self.attempt(request, deadline_ms, must_write).await?;
             let refusal = match attempt {
                 Attempt::Done => return Ok(()),
-                Attempt::Again(refusal) => refusal,
+                Attempt::Retry(refusal) => refusal,
             };
             failures += 1;
             must_write |= refusal.code == Code::ReadOnly;
@@ -31,11 +31,11 @@
                 .metrics
                 .retries
                 .add(1, &[label("code", refusal.code)]);
-            self.pause(failures).await;
+            self.wait_before_retry(failures).await;
         }
     }
 
-    pub(super) async fn pause(&self, failures: u32) {
+    pub(super) async fn wait_before_retry(&self, failures: u32) {
         let delay_ms = RETRY_BACKOFF.delay_ms(failures);
         compio::time::sleep(Duration::from_millis(delay_ms)).await;
     }
@@ -46,13 +46,13 @@
         deadline_ms: u64,
         must_write: bool,
     ) -> Result<Attempt> {
-        let is_pinned = self.held.is_some();
+        let is_pinned = self.borrowed.is_some();
         if !is_pinned {
-            let want = self.want(request, must_write);
-            match self.acquire(want, deadline_ms, must_write).await {
-                Ok(held) => self.held = Some(held),
+            let access = self.access(request, must_write);
+            match self.acquire(access, deadline_ms, must_write).await {
+                Ok(borrowed) => self.borrowed = Some(borrowed),
                 Err(refusal) if matches!(refusal.code, Code::NoSlot | Code::Stopping) => {
-                    return Ok(Attempt::Again(refusal));
+                    return Ok(Attempt::Retry(refusal));
                 }
                 Err(refusal) => {
                     self.refuse(request, &refusal);
@@ -63,35 +63,35 @@
         self.exchange(request, is_pinned).await
     }
 
-    pub(super) fn want(&self, request: &Request, must_write: bool) -> Want {
+    pub(super) fn access(&self, request: &Request, must_write: bool) -> Access {
         let floor = self.session.floor;
         match request.class {
-            _ if must_write => Want::Write,
-            Class::Empty | Class::Read | Class::BeginReadOnly => Want::Read {
+            _ if must_write => Access::Write,
+            Class::Empty | Class::Read | Class::BeginReadOnly => Access::Read {
                 floor,
                 max_age_ms: self.session.max_age_ms,
             },
-            Class::Begin => Want::Begin { floor },
-            _ => Want::Write,
+            Class::Begin => Access::Begin { floor },
+            _ => Access::Write,
         }
     }
 
     pub(super) async fn acquire(
         &mut self,
-        want: Want,
+        access: Access,
         deadline_ms: u64,
         is_stale: bool,
-    ) -> std::result::Result<Held, Refusal> {
+    ) -> std::result::Result<BorrowedConnection, Refusal> {
         let route = self
             .context
             .find_route(&self.session.service, is_stale)
             .await?;
         if let Some(slot) = route.slot.clone() {
-            let granted = slot.acquire(want, deadline_ms).await?;
+            let granted = slot.acquire(access, deadline_ms).await?;
             if let Some(position) = granted.floor {
-                self.session.reach(position);
+                self.session.raise_floor(position);
             }
-            return Ok(Held {
+            return Ok(BorrowedConnection {
                 connection: granted.connection,
                 slot: Some(slot),
                 since_us: clock::now_us(),
@@ -104,10 +104,10 @@
     pub(super) async fn acquire_remote(
         &mut self,
         route: &Route,
-    ) -> std::result::Result<Held, Refusal> {
-        let mut last = Refusal::new(Code::NoSlot, "no VM holds a slot of the service");
-        if self.entry == ListenerKind::Internal {
-            // Forwarding again could go in circles.
+    ) -> std::result::Result<BorrowedConnection, Refusal> {
+        let mut last_refusal = Refusal::new(Code::NoSlot, "no VM holds a slot of the service");
+        if self.listener_kind == ListenerKind::Internal {
+            // Forwarding a second time could loop between VMs.
             let text = "this VM holds no slot of the service";
             return Err(Refusal::new(Code::NoSlot, text));
         }
@@ -119,27 +119,27 @@
                 .await
             {
                 Ok(connection) => {
-                    return Ok(Held {
+                    return Ok(BorrowedConnection {
                         connection,
                         slot: None,
                         since_us: clock::now_us(),
                         is_primary: false,
                     });
                 }
-                Err(refusal) => last = refusal,
+                Err(refusal) => last_refusal = refusal,
             }
         }
-        // What is known of the holders has failed: look again.
+        // No known holder answered: have the route looked up again.
         let _ = self.context.find_route(&self.session.service, true).await;
-        Err(last)
+        Err(last_refusal)
     }
 
     pub(super) async fn exchange(&mut self, request: &Request, is_pinned: bool) -> Result<Attempt> {
-        let Some(mut held) = self.held.take() else {
+        let Some(mut borrowed) = self.borrowed.take() else {
             return Ok(Attempt::Done);
         };
-        let asks_position = held.slot.is_some()
-            && held.is_primary
+        let asks_position = borrowed.slot.is_some()
+            && borrowed.is_primary
             && request.ending != Ending::Flush
             && match is_pinned {
                 true => request.class == Class::Commit,
@@ -147,13 +147,13 @@
             };
         self.context.cancels.set(
             self.key,
-            Some(Running {
-                address: held.connection.address,
-                key: held.connection.key,
+            Some(RunningRequest {
+                address: borrowed.connection.address,
+                key: borrowed.connection.key,
             }),
         );
-        let slot = held.slot.clone();
-        let target = held.connection.target.clone();
+        let slot = borrowed.slot.clone();
+        let target = borrowed.connection.target.clone();
         let context = self.context.clone();
         let service = self.session.service.clone();
         let is_dead = async || match (&slot, &target) {
@@ -163,23 +163,23 @@
             (_, ConnectionTarget::Vm { vm }) => !is_holder(&context, &service, vm),
             _ => false,
         };
-        let exchange = Exchange::new(&mut held.connection, &mut self.wire, &mut self.session);
+        let exchange = Exchange::new(&mut borrowed.connection, &mut self.wire, &mut self.session);
         let outcome = exchange.run(request, asks_position, is_dead).await;
         self.context.cancels.set(self.key, None);
         match outcome {
-            Ok(answer) => self.conclude(request, held, answer, is_pinned).await,
+            Ok(answer) => self.conclude(request, borrowed, answer, is_pinned).await,
             Err(ExchangeError::Caller(error)) => Err(error),
-            Err(ExchangeError::Connection(error, is_passed)) => {
-                self.report_failure(&held);
-                drop(held);
-                self.conclude_broken(request, &error, is_passed, is_pinned)
+            Err(ExchangeError::Connection(error, is_partly_sent)) => {
+                self.report_failure(&borrowed);
+                drop(borrowed);
+                self.conclude_failed(request, &error, is_partly_sent, is_pinned)
             }
         }
     }
 
-    pub(super) fn report_failure(&self, held: &Held) {
+    pub(super) fn report_failure(&self, borrowed: &BorrowedConnection) {
         if let (Some(slot), ConnectionTarget::Member { member, .. }) =
-            (&held.slot, &held.connection.target)
+            (&borrowed.slot, &borrowed.connection.target)
         {
             slot.send(crate::proxy::slot::SlotMessage::Failed { member: *member });
         }
--- a/src/proxy/caller/conclude.rs
+++ b/src/proxy/caller/conclude.rs
@@ -1,13 +1,13 @@
-//! The end of an attempt: pass the answer on, refuse, or try again.
+//! The end of an attempt: sends the answer, refuses the request or retries it.
 
 use super::*;
 
 impl Caller {
-    pub(super) fn conclude_broken(
+    pub(super) fn conclude_failed(
         &mut self,
         request: &Request,
         error: &ProxyError,
-        is_passed: bool,
+        is_partly_sent: bool,
         is_pinned: bool,
     ) -> Result<Attempt> {
         let is_read = matches!(
@@ -17,20 +17,20 @@
         let was_not_run = matches!(error, ProxyError::NotRun { .. });
         let may_repeat =
             was_not_run || is_read || self.session.is_idempotent || !request.is_executed;
-        if is_passed {
+        if is_partly_sent {
             let refusal = Refusal::new(Code::AnswerCut, error.to_string());
             self.count_refusal(&refusal);
             return Err(ProxyError::Closed);
         }
         if may_repeat && !is_pinned {
-            return Ok(Attempt::Again(Refusal::new(
+            return Ok(Attempt::Retry(Refusal::new(
                 Code::AnswerCut,
                 error.to_string(),
             )));
         }
         let refusal = match request.class {
             Class::Begin => {
-                return Ok(Attempt::Again(Refusal::new(
+                return Ok(Attempt::Retry(Refusal::new(
                     Code::NoPrimary,
                     error.to_string(),
                 )));
@@ -48,77 +48,83 @@
     pub(super) async fn conclude(
         &mut self,
         request: &Request,
-        mut held: Held,
+        mut borrowed: BorrowedConnection,
         mut answer: Answer,
         is_pinned: bool,
     ) -> Result<Attempt> {
         if request.ending == Ending::Flush {
-            self.wire.push(&answer.held);
-            self.held = Some(held);
+            self.wire.push(&answer.held_back);
+            self.borrowed = Some(borrowed);
             return Ok(Attempt::Done);
         }
-        let was_refused = answer.is_refused_as_write() && !answer.is_passed;
+        let was_refused = answer.is_refused_as_write() && !answer.is_partly_sent;
         if was_refused && !is_pinned && request.class != Class::BeginReadOnly {
-            return Ok(self.rerun(held, &answer));
+            return Ok(self.retry_refused_write(borrowed, &answer));
         }
-        if answer.status != IDLE {
-            self.wire.push(&answer.held);
-            self.held = Some(held);
+        if answer.status != IDLE_STATUS {
+            self.wire.push(&answer.held_back);
+            self.borrowed = Some(borrowed);
             return Ok(Attempt::Done);
         }
         let has_committed = answer.error_state.is_none() && !answer.is_rollback;
         let wrote = request.may_write() || is_pinned;
-        if held.is_primary && has_committed && wrote && held.slot.is_some() {
+        if borrowed.is_primary && has_committed && wrote && borrowed.slot.is_some() {
             if answer.lsn.is_none() {
-                answer.lsn = Exchange::position(&mut held.connection)
+                answer.lsn = Exchange::position(&mut borrowed.connection)
                     .await
                     .ok()
                     .flatten();
             }
-            if let Err(refusal) = self.acknowledge(&held, answer.lsn).await {
-                self.release(held, true);
-                let may_rerun = !is_pinned && !answer.is_passed;
-                if refusal.code == Code::TransactionDiscarded && may_rerun {
-                    return Ok(self.again(&answer, refusal));
+            if let Err(refusal) = self.acknowledge(&borrowed, answer.lsn).await {
+                self.release(borrowed, true);
+                let may_retry = !is_pinned && !answer.is_partly_sent;
+                if refusal.code == Code::TransactionDiscarded && may_retry {
+                    return Ok(self.retry(&answer, refusal));
                 }
                 self.refuse(request, &refusal);
                 return Ok(Attempt::Done);
             }
         }
         self.session.portals.clear();
-        self.wire.push(&answer.held);
-        self.release(held, true);
+        self.wire.push(&answer.held_back);
+        self.release(borrowed, true);
         Ok(Attempt::Done)
     }
 
-    /// The member proved that the statement was not run.
-    pub(super) fn rerun(&mut self, held: Held, answer: &Answer) -> Attempt {
-        let was_primary = held.is_primary;
-        if let Some(slot) = &held.slot
+    /// Retries a statement that a member refused because it does not accept
+    /// writes, so that the statement was not run.
+    pub(super) fn retry_refused_write(
+        &mut self,
+        borrowed: BorrowedConnection,
+        answer: &Answer,
+    ) -> Attempt {
+        let was_primary = borrowed.is_primary;
+        if let Some(slot) = &borrowed.slot
             && was_primary
         {
             slot.send(crate::proxy::slot::SlotMessage::Refresh);
         }
-        self.release(held, true);
+        self.release(borrowed, true);
         let text = "the member refused the statement as a write";
-        self.again(answer, Refusal::new(Code::ReadOnly, text))
+        self.retry(answer, Refusal::new(Code::ReadOnly, text))
     }
 
-    /// Tries again: nothing of this attempt's answer may reach the caller.
-    fn again(&mut self, answer: &Answer, refusal: Refusal) -> Attempt {
-        self.wire.output().truncate(answer.queued_from);
-        Attempt::Again(refusal)
+    /// Discards what is queued of this attempt's answer and asks for a retry.
+    fn retry(&mut self, answer: &Answer, refusal: Refusal) -> Attempt {
+        self.wire.output().truncate(answer.output_start);
+        Attempt::Retry(refusal)
     }
 
-    /// Waits until a commit may be acknowledged; raises the session's position.
+    /// Waits until a commit may be acknowledged, then raises the session's floor
+    /// and sends the new token.
     pub(super) async fn acknowledge(
         &mut self,
-        held: &Held,
+        borrowed: &BorrowedConnection,
         lsn: Option<Lsn>,
     ) -> std::result::Result<(), Refusal> {
         let unknown = |text: &str| Refusal::new(Code::CommitUnconfirmed, text);
         let (Some(slot), ConnectionTarget::Member { member, term }) =
-            (&held.slot, &held.connection.target)
+            (&borrowed.slot, &borrowed.connection.target)
         else {
             return Ok(());
         };
@@ -131,11 +137,12 @@
         };
         let position = match slot.confirm(commit).await {
             Decision::Acknowledge => position,
-            // Only the barrier by majority tells what can't come back.
-            _ if self.acknowledges_by_majority() => find_fate(slot, commit).await?,
+            // Only the majority barrier proves that a commit which the new
+            // primary lacks can't come back.
+            _ if self.acknowledges_by_majority() => resolve_commit(slot, commit).await?,
             _ => return Err(unknown("the commit was not confirmed in its term")),
         };
-        if self.session.reach(position) {
+        if self.session.raise_floor(position) {
             let token = self.session.token();
             message::put_parameter(self.wire.output(), TOKEN_PARAMETER, &token);
         }
@@ -147,14 +154,14 @@
         route.is_some_and(|r| r.settings.acknowledge == AcknowledgeMode::Majority)
     }
 
-    pub(super) fn release(&mut self, held: Held, is_clean: bool) {
-        let held_us = clock::now_us().saturating_sub(held.since_us);
-        match held.slot {
-            Some(slot) => slot.release(held.connection, is_clean, held_us),
+    pub(super) fn release(&mut self, borrowed: BorrowedConnection, is_clean: bool) {
+        let held_us = clock::now_us().saturating_sub(borrowed.since_us);
+        match borrowed.slot {
+            Some(slot) => slot.release(borrowed.connection, is_clean, held_us),
             None => self
                 .context
                 .peer_pool
-                .release(&self.session.service, held.connection),
+                .release(&self.session.service, borrowed.connection),
         }
     }
 }
--- a/src/proxy/cancel.rs
+++ b/src/proxy/cancel.rs
@@ -1,4 +1,4 @@
-//! Cancel requests of callers.
+//! Forwards callers' cancel requests to where their requests run.
 
 use std::{cell::RefCell, net::SocketAddr, rc::Rc};
 
@@ -8,29 +8,29 @@
 use super::{connect::secret, message};
 use crate::prelude::*;
 
-/// Process id and secret, as PostgreSQL's protocol names a connection.
+/// Process id and secret key that identify a connection in a `CancelRequest`.
 pub type CancelKey = (i32, i32);
 
-/// Where a caller's request runs.
+/// Connection on which a caller's request runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Running {
+pub struct RunningRequest {
     /// Address of the endpoint or VM.
     pub address: SocketAddr,
-    /// Process id and secret there.
+    /// Cancel key of the connection.
     pub key: CancelKey,
 }
 
-/// Places by the key that the caller was given; `None` between requests.
-type Places = BTreeMap<CancelKey, Option<Running>>;
+/// Running requests by the callers' cancel keys; `None` between requests.
+type RunningRequests = BTreeMap<CancelKey, Option<RunningRequest>>;
 
-/// Requests that run now, by the key that the caller was given.
+/// Requests that are running, by the cancel key given to the caller.
 #[derive(Clone, Default)]
 pub struct CancelRegistry {
-    running: Rc<RefCell<Places>>,
+    running: Rc<RefCell<RunningRequests>>,
 }
 
 impl CancelRegistry {
-    /// Registers a caller and returns the key it is given.
+    /// Registers a caller and returns its cancel key.
     pub fn register(&self) -> CancelKey {
         let mut running = self.running.borrow_mut();
         loop {
@@ -42,30 +42,30 @@
         }
     }
 
-    /// Records where a caller's request runs.
-    pub fn set(&self, key: CancelKey, place: Option<Running>) {
-        self.running.borrow_mut().insert(key, place);
+    /// Records where a caller's request runs; `None` when it has ended.
+    pub fn set(&self, key: CancelKey, running_request: Option<RunningRequest>) {
+        self.running.borrow_mut().insert(key, running_request);
     }
 
-    /// Forgets a caller.
+    /// Removes a caller that has disconnected.
     pub fn remove(&self, key: CancelKey) {
         self.running.borrow_mut().remove(&key);
     }
 
-    /// Passes a cancel request on to where the caller's request runs. A
-    /// request that has ended or a wrong secret is ignored, as PostgreSQL does.
+    /// Forwards a cancel request to where the caller's request runs. As in
+    /// PostgreSQL, an unknown key or a request that has ended is ignored.
     pub async fn cancel(&self, request: &CancelRequest) {
         let key = (request.pid, secret(&request.secret_key));
-        let place = self.running.borrow().get(&key).copied().flatten();
-        let Some(place) = place else {
+        let running_request = self.running.borrow().get(&key).copied().flatten();
+        let Some(running_request) = running_request else {
             return;
         };
         let mut bytes = bytes::BytesMut::new();
         message::put(
             &mut bytes,
-            &CancelRequest::new(place.key.0, SecretKey::I32(place.key.1)),
+            &CancelRequest::new(running_request.key.0, SecretKey::I32(running_request.key.1)),
         );
-        if let Ok(mut stream) = TcpStream::connect(place.address).await {
+        if let Ok(mut stream) = TcpStream::connect(running_request.address).await {
             // The endpoint closes without an answer.
             let _ = stream.write_all(bytes).await;
         }
--- a/src/proxy/connection.rs
+++ b/src/proxy/connection.rs
@@ -29,16 +29,16 @@
 pub struct Permit(Option<Box<dyn FnOnce()>>);
 
 impl Permit {
-    /// Creates a permit that runs `give_back` when dropped.
-    pub fn new(give_back: impl FnOnce() + 'static) -> Permit {
-        Permit(Some(Box::new(give_back)))
+    /// Creates a permit that runs `on_drop` when dropped.
+    pub fn new(on_drop: impl FnOnce() + 'static) -> Permit {
+        Permit(Some(Box::new(on_drop)))
     }
 }
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        if let Some(give_back) = self.0.take() {
-            give_back();
+        if let Some(on_drop) = self.0.take() {
+            on_drop();
         }
     }
 }
@@ -66,11 +66,11 @@
 impl Connection {
     /// Whether it may serve another request now.
     pub fn is_reusable(&self) -> bool {
-        !self.is_worn() && !self.wire.is_stale()
+        !self.needs_replacement() && !self.wire.is_stale()
     }
 
     /// Whether it has served so many statements that a new one is better.
-    pub fn is_worn(&self) -> bool {
+    pub fn needs_replacement(&self) -> bool {
         self.prepared.len() >= PREPARED_MAX
     }
 }
--- a/src/proxy/exchange.rs
+++ b/src/proxy/exchange.rs
@@ -22,7 +22,7 @@
     error::{ProxyError, Result},
     frame::{Chunk, Frame, from_caller, from_endpoint as tag},
     message,
-    owed::{Owed, OwedList, Verdict},
+    pending::{Action, PendingResponse, PendingResponses},
     prepared::Prepared,
     request::{self, Ending, Request},
     session::{Session, TOKEN_PARAMETER},
@@ -31,16 +31,16 @@
 use crate::prelude::*;
 
 /// Time without an answer after which the member's health is asked.
-const STALL: Duration = Duration::from_millis(500);
+const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// Requests larger than this are written beside reading the answer.
-const WRITE_BESIDE_BYTES: usize = 64 << 10;
+const CONCURRENT_WRITE_MIN_BYTES: usize = 64 << 10;
 /// Question for the position after a commit.
 const POSITION_SQL: &str = "SELECT pg_current_wal_lsn()";
 /// SQLSTATE of a write that a replica refused.
 const READ_ONLY_STATE: &str = "25006";
 
 /// Status of a connection outside a transaction.
-pub const IDLE: u8 = b'I';
+pub const IDLE_STATUS: u8 = b'I';
 
 /// How a request ended on the connection.
 #[derive(Debug, Default)]
@@ -54,11 +54,11 @@
     /// Whether the last command was a rollback.
     pub is_rollback: bool,
     /// End of the answer, to be passed on or replaced.
-    pub held: BytesMut,
+    pub held_back: BytesMut,
     /// Whether part of the answer has left this VM.
-    pub is_passed: bool,
+    pub is_partly_sent: bool,
     /// Length of the caller's output before anything of the answer was queued.
-    pub queued_from: usize,
+    pub output_start: usize,
 }
 
 impl Answer {
@@ -90,10 +90,10 @@
     connection: &'a mut Connection,
     caller: &'a mut Wire,
     session: &'a mut Session,
-    owed: OwedList,
+    pending: PendingResponses,
     stage: Stage,
     asks_position: bool,
-    mark: usize,
+    answer_start: usize,
     answer: Answer,
 }
 
@@ -104,15 +104,15 @@
         caller: &'a mut Wire,
         session: &'a mut Session,
     ) -> Exchange<'a> {
-        let mark = caller.output().len();
+        let answer_start = caller.output().len();
         Exchange {
             connection,
             caller,
             session,
-            owed: OwedList::default(),
+            pending: PendingResponses::default(),
             stage: Stage::Main,
             asks_position: false,
-            mark,
+            answer_start,
             answer: Answer::default(),
         }
     }
@@ -139,7 +139,7 @@
             message::put_query(self.connection.wire.output(), POSITION_SQL);
         }
         if let Err(error) = self.send().await {
-            return Err(self.broken(error));
+            return Err(self.fail(error));
         }
         self.receive(request.ending, &is_dead).await
     }
@@ -168,32 +168,32 @@
         ending: Ending,
         is_dead: &impl AsyncFn() -> bool,
     ) -> std::result::Result<Answer, ExchangeError> {
-        self.settle_own();
+        self.answer_own();
         while !self.is_done(ending) {
             let chunk = match next_chunk(&mut self.connection.wire, is_dead).await {
                 Ok(chunk) => chunk,
-                Err(error) => return Err(self.broken(error)),
+                Err(error) => return Err(self.fail(error)),
             };
-            let taken = match chunk {
-                Chunk::Frame(frame) => self.take(&frame),
-                Chunk::Part(bytes) => self.take_part(&bytes),
+            let handled = match chunk {
+                Chunk::Frame(frame) => self.handle_frame(&frame),
+                Chunk::Part(bytes) => self.handle_part(&bytes),
             };
-            if let Err(error) = taken {
-                return Err(self.broken(error));
+            if let Err(error) = handled {
+                return Err(self.fail(error));
             }
             if self.caller.is_full() {
-                self.answer.is_passed = true;
+                self.answer.is_partly_sent = true;
                 self.caller.flush().await.map_err(ExchangeError::Caller)?;
-                self.mark = 0;
+                self.answer_start = 0;
             }
         }
-        self.answer.queued_from = self.mark;
+        self.answer.output_start = self.answer_start;
         Ok(self.answer)
     }
 
     fn is_done(&self, ending: Ending) -> bool {
         if ending == Ending::Flush {
-            let is_over = self.owed.is_empty() || self.answer.error_state.is_some();
+            let is_over = self.pending.is_empty() || self.answer.error_state.is_some();
             return self.stage == Stage::Main && is_over;
         }
         let has_status = self.answer.status != 0;
@@ -201,11 +201,11 @@
     }
 
     /// Forgets what was queued for the caller, if none of it has left.
-    fn broken(self, error: ProxyError) -> ExchangeError {
-        if !self.answer.is_passed {
-            self.caller.output().truncate(self.mark);
+    fn fail(self, error: ProxyError) -> ExchangeError {
+        if !self.answer.is_partly_sent {
+            self.caller.output().truncate(self.answer_start);
         }
-        ExchangeError::Connection(error, self.answer.is_passed)
+        ExchangeError::Connection(error, self.answer.is_partly_sent)
     }
 }
 
@@ -216,7 +216,7 @@
         }
         let mut fill = pin!(wire.fill());
         loop {
-            let stall = pin!(compio::time::sleep(STALL));
+            let stall = pin!(compio::time::sleep(STALL_CHECK_INTERVAL));
             match select(fill.as_mut(), stall).await {
                 Either::Left((result, _)) => {
                     result?;
--- a/src/proxy/exchange/answer.rs
+++ b/src/proxy/exchange/answer.rs
@@ -3,15 +3,15 @@
 use super::*;
 
 impl Exchange<'_> {
-    pub(super) fn take(&mut self, frame: &Frame) -> Result<()> {
+    pub(super) fn handle_frame(&mut self, frame: &Frame) -> Result<()> {
         match self.stage {
-            Stage::Preamble => self.take_preamble(frame),
-            Stage::Main => self.take_main(frame),
-            Stage::Position => self.take_position(frame),
+            Stage::Preamble => self.handle_preamble(frame),
+            Stage::Main => self.handle_main(frame),
+            Stage::Position => self.handle_position(frame),
         }
     }
 
-    pub(super) fn take_preamble(&mut self, frame: &Frame) -> Result<()> {
+    pub(super) fn handle_preamble(&mut self, frame: &Frame) -> Result<()> {
         match frame.tag() {
             tag::ERROR => {
                 let (_, text) = message::error_fields(frame);
@@ -27,10 +27,10 @@
         }
     }
 
-    pub(super) fn take_main(&mut self, frame: &Frame) -> Result<()> {
+    pub(super) fn handle_main(&mut self, frame: &Frame) -> Result<()> {
         match frame.tag() {
-            tag::READY => self.take_ready(frame),
-            tag::PARAMETER_STATUS => self.take_parameter(frame),
+            tag::READY => self.handle_ready(frame),
+            tag::PARAMETER_STATUS => self.handle_parameter(frame),
             tag::NOTIFICATION => {}
             tag::COPY_IN | tag::COPY_OUT | tag::COPY_BOTH => {
                 return Err(ProxyError::protocol("the endpoint started COPY"));
@@ -39,27 +39,27 @@
                 let (state, text) = message::error_fields(frame);
                 self.check_stopping(&text)?;
                 self.answer.error_state = Some(state);
-                for key in self.owed.clear() {
+                for key in self.pending.clear() {
                     self.connection.prepared.remove(&key);
                 }
                 self.connection.unnamed = None;
-                self.hold(frame);
+                self.hold_back(frame);
             }
             tag::COMPLETE => {
                 self.answer.is_rollback = frame.body().starts_with(b"ROLLBACK");
-                self.owed.settle(frame.tag());
-                self.hold(frame);
-                self.settle_own();
+                self.pending.match_response(frame.tag());
+                self.hold_back(frame);
+                self.answer_own();
             }
             other => {
-                let (verdict, key) = self.owed.settle(other);
+                let (action, key) = self.pending.match_response(other);
                 if let Some(key) = key {
                     self.connection.prepared.insert(key);
                 }
-                if verdict == Verdict::Pass {
-                    self.pass(&frame.bytes);
+                if action == Action::Forward {
+                    self.forward_to_caller(&frame.bytes);
                 }
-                self.settle_own();
+                self.answer_own();
             }
         }
         Ok(())
@@ -75,15 +75,15 @@
         Ok(())
     }
 
-    pub(super) fn take_ready(&mut self, frame: &Frame) {
-        self.answer.status = frame.body().first().copied().unwrap_or(IDLE);
-        self.answer.held.extend_from_slice(&frame.bytes);
+    pub(super) fn handle_ready(&mut self, frame: &Frame) {
+        self.answer.status = frame.body().first().copied().unwrap_or(IDLE_STATUS);
+        self.answer.held_back.extend_from_slice(&frame.bytes);
         if self.asks_position {
             self.stage = Stage::Position;
         }
     }
 
-    pub(super) fn take_position(&mut self, frame: &Frame) -> Result<()> {
+    pub(super) fn handle_position(&mut self, frame: &Frame) -> Result<()> {
         match frame.tag() {
             tag::ROW => self.answer.lsn = message::row_lsn(frame),
             tag::READY => {
@@ -95,13 +95,13 @@
         Ok(())
     }
 
-    pub(super) fn take_part(&mut self, bytes: &[u8]) -> Result<()> {
-        self.pass(bytes);
+    pub(super) fn handle_part(&mut self, bytes: &[u8]) -> Result<()> {
+        self.forward_to_caller(bytes);
         Ok(())
     }
 
     /// A slot on another VM reports the session's position this way.
-    pub(super) fn take_parameter(&mut self, frame: &Frame) {
+    pub(super) fn handle_parameter(&mut self, frame: &Frame) {
         let ConnectionTarget::Vm { .. } = self.connection.target else {
             return;
         };
@@ -113,31 +113,31 @@
         }
         // A slot's own token is good; a bad one leaves the floor as it is.
         let _ = self.session.set_own(&name, &value);
-        self.pass(&frame.bytes);
+        self.forward_to_caller(&frame.bytes);
     }
 
-    pub(super) fn hold(&mut self, frame: &Frame) {
-        self.release_held();
-        self.answer.held.extend_from_slice(&frame.bytes);
+    pub(super) fn hold_back(&mut self, frame: &Frame) {
+        self.flush_held_back();
+        self.answer.held_back.extend_from_slice(&frame.bytes);
     }
 
-    pub(super) fn pass(&mut self, bytes: &[u8]) {
-        self.release_held();
+    pub(super) fn forward_to_caller(&mut self, bytes: &[u8]) {
+        self.flush_held_back();
         self.caller.push(bytes);
     }
 
-    pub(super) fn release_held(&mut self) {
-        if !self.answer.held.is_empty() {
-            let held = std::mem::take(&mut self.answer.held);
+    pub(super) fn flush_held_back(&mut self) {
+        if !self.answer.held_back.is_empty() {
+            let held = std::mem::take(&mut self.answer.held_back);
             self.caller.push(&held);
         }
     }
 
-    pub(super) fn settle_own(&mut self) {
-        while let Some(owed) = self.owed.take_own() {
-            self.release_held();
-            match owed {
-                Owed::OwnParse => message::put_parse_complete(self.caller.output()),
+    pub(super) fn answer_own(&mut self) {
+        while let Some(pending) = self.pending.pop_own() {
+            self.flush_held_back();
+            match pending {
+                PendingResponse::OwnParse => message::put_parse_complete(self.caller.output()),
                 _ => message::put_close_complete(self.caller.output()),
             }
         }
--- a/src/proxy/exchange/queue.rs
+++ b/src/proxy/exchange/queue.rs
@@ -33,7 +33,7 @@
                 from_caller::DESCRIBE => self.queue_describe(frame, parsed_unnamed)?,
                 from_caller::CLOSE => self.queue_close(frame)?,
                 from_caller::EXECUTE => {
-                    self.owed.push(Owed::Execute);
+                    self.pending.push(PendingResponse::Execute);
                     self.connection.wire.push(&frame.bytes);
                 }
                 _ => self.connection.wire.push(&frame.bytes),
@@ -48,9 +48,9 @@
         let name = parse.name.unwrap_or_default();
         if name.is_empty() {
             self.connection.unnamed = self.session.unnamed.as_ref().map(|p| p.key.clone());
-            self.owed.push(Owed::Parse {
+            self.pending.push(PendingResponse::Parse {
                 key: None,
-                is_callers: true,
+                is_requested: true,
             });
             self.connection.wire.push(&frame.bytes);
             return Ok(true);
@@ -58,24 +58,24 @@
         let class = crate::proxy::class_cache::class_of(&parse.query);
         let prepared = Prepared::new(&parse.query, &parse.type_oids, class);
         if self.connection.prepared.contains(&prepared.key) {
-            self.owed.push(Owed::OwnParse);
+            self.pending.push(PendingResponse::OwnParse);
             return Ok(false);
         }
         self.put_parse(&prepared, true);
         Ok(false)
     }
 
-    pub(super) fn put_parse(&mut self, prepared: &Prepared, is_callers: bool) {
+    pub(super) fn put_parse(&mut self, prepared: &Prepared, is_requested: bool) {
         let output = self.connection.wire.output();
         message::put_parse(output, &prepared.key, &prepared.sql, &prepared.type_oids);
-        self.owed.push(Owed::Parse {
+        self.pending.push(PendingResponse::Parse {
             key: Some(prepared.key.clone()),
-            is_callers,
+            is_requested,
         });
     }
 
     /// Makes the connection know a statement; the name to use for it there.
-    pub(super) fn ensure(&mut self, name: &str, parsed_unnamed: bool) -> Option<String> {
+    pub(super) fn ensure_prepared(&mut self, name: &str, parsed_unnamed: bool) -> Option<String> {
         if !name.is_empty() {
             let prepared = self.session.statements.get(name).cloned()?;
             if !self.connection.prepared.contains(&prepared.key) {
@@ -89,9 +89,9 @@
         if !parsed_unnamed && self.connection.unnamed.as_ref() != Some(&prepared.key) {
             let output = self.connection.wire.output();
             message::put_parse(output, "", &prepared.sql, &prepared.type_oids);
-            self.owed.push(Owed::Parse {
+            self.pending.push(PendingResponse::Parse {
                 key: None,
-                is_callers: false,
+                is_requested: false,
             });
             self.connection.unnamed = Some(prepared.key);
         }
@@ -101,8 +101,8 @@
     pub(super) fn queue_bind(&mut self, frame: &Frame, parsed_unnamed: bool) -> Result<()> {
         let mut bind: Bind = message::read(frame)?;
         let name = bind.statement_name.clone().unwrap_or_default();
-        let key = self.ensure(&name, parsed_unnamed);
-        self.owed.push(Owed::Bind);
+        let key = self.ensure_prepared(&name, parsed_unnamed);
+        self.pending.push(PendingResponse::Bind);
         if name.is_empty() {
             self.connection.wire.push(&frame.bytes);
             return Ok(());
@@ -113,8 +113,8 @@
 
     pub(super) fn queue_describe(&mut self, frame: &Frame, parsed_unnamed: bool) -> Result<()> {
         let named = request::named_statement(frame)?;
-        let key = named.and_then(|name| self.ensure(&name, parsed_unnamed));
-        self.owed.push(Owed::Describe);
+        let key = named.and_then(|name| self.ensure_prepared(&name, parsed_unnamed));
+        self.pending.push(PendingResponse::Describe);
         match key.filter(|key| !key.is_empty()) {
             Some(key) => {
                 let describe = Describe::new(request::STATEMENT, Some(key));
@@ -131,10 +131,10 @@
         match request::named_statement(frame)? {
             Some(name) => {
                 self.session.statements.remove(&name);
-                self.owed.push(Owed::OwnClose);
+                self.pending.push(PendingResponse::OwnClose);
             }
             None => {
-                self.owed.push(Owed::Close);
+                self.pending.push(PendingResponse::Close);
                 self.connection.wire.push(&frame.bytes);
             }
         }
@@ -142,7 +142,7 @@
     }
 
     pub(super) async fn send(&mut self) -> Result<()> {
-        if self.connection.wire.output().len() <= WRITE_BESIDE_BYTES {
+        if self.connection.wire.output().len() <= CONCURRENT_WRITE_MIN_BYTES {
             return self.connection.wire.flush().await;
         }
         // The endpoint may answer before it has read all; writing beside
--- a/src/proxy/listener.rs
+++ b/src/proxy/listener.rs
@@ -1,4 +1,4 @@
-//! Accepting callers.
+//! Accepts callers' connections.
 
 use std::{cell::Cell, rc::Rc};
 
@@ -10,14 +10,15 @@
 };
 use crate::prelude::*;
 
-/// Pause after a connection could not be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay before the next attempt after `accept` failed.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Accepts callers until the VM stops. `count` holds the callers served now.
+/// Accepts callers until the VM stops. `count` is the number of connected callers
+/// on all listeners.
 pub async fn accept(
     context: Context,
     listener: TcpListener,
-    entry: ListenerKind,
+    listener_kind: ListenerKind,
     count: Rc<Cell<usize>>,
 ) {
     let mut draining = context.draining.clone();
@@ -31,20 +32,22 @@
             }
         };
         let Ok((stream, _)) = accepted else {
-            compio::time::sleep(ACCEPT_PAUSE).await;
+            compio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         if count.get() >= context.settings.callers_max {
-            // Closing is all that can be afforded for one caller too many.
+            // Over the limit the connection is closed without an answer, which
+            // costs the least.
             continue;
         }
-        // Without it small answers would wait for the other side's receipt.
+        // Nagle's algorithm would hold back small answers until the caller
+        // acknowledges earlier packets.
         let _ = stream.set_nodelay(true);
         count.set(count.get() + 1);
         let context = context.clone();
         let count = count.clone();
         compio::runtime::spawn(async move {
-            serve(context, stream, entry).await;
+            serve(context, stream, listener_kind).await;
             count.set(count.get() - 1);
         })
         .detach();
--- a/src/proxy/local.rs
+++ b/src/proxy/local.rs
@@ -120,7 +120,7 @@
             message::put_complete(answer, "SET");
         }
         Statement::Set { name, value } => {
-            if !session.carry(name, value) {
+            if !session.set_carried(name, value) {
                 let text = format!("{name} is not carried between connections; use SET LOCAL");
                 return Err(Refusal::new(Code::SessionState, text));
             }
--- a/src/proxy/peer_pool.rs
+++ b/src/proxy/peer_pool.rs
@@ -109,7 +109,7 @@
                     continue;
                 };
                 let group = groups.entry((service, vm.clone())).or_default();
-                if group.idle.len() < IDLE_MAX && !connection.is_worn() {
+                if group.idle.len() < IDLE_MAX && !connection.needs_replacement() {
                     group.idle.push(connection);
                 }
             }
--- a/src/proxy/request.rs
+++ b/src/proxy/request.rs
@@ -55,7 +55,7 @@
 }
 
 #[derive(Default)]
-struct Gathering {
+struct RequestReader {
     frames: Vec<Frame>,
     executed: Option<Class>,
     described: Option<Class>,
@@ -69,29 +69,29 @@
 ///
 /// Returns an error when the connection ends, a message is bad or the request
 /// is larger than `max_bytes`.
-pub async fn gather(
+pub async fn read_request(
     first: Frame,
     wire: &mut Wire,
     session: &mut Session,
     max_bytes: usize,
 ) -> Result<Request> {
-    let mut gathering = Gathering::default();
+    let mut reader = RequestReader::default();
     let mut frame = first;
     loop {
-        gathering.bytes += frame.bytes.len();
-        if gathering.bytes > max_bytes {
+        reader.bytes += frame.bytes.len();
+        if reader.bytes > max_bytes {
             return Err(ProxyError::TooLarge {
-                bytes: gathering.bytes,
+                bytes: reader.bytes,
             });
         }
-        if let Some(request) = gathering.take(frame, session)? {
+        if let Some(request) = reader.take(frame, session)? {
             return Ok(request);
         }
         frame = wire.next_frame().await?;
     }
 }
 
-impl Gathering {
+impl RequestReader {
     fn take(&mut self, frame: Frame, session: &mut Session) -> Result<Option<Request>> {
         match frame.tag() {
             tag::QUERY => return self.query(frame).map(Some),
@@ -194,15 +194,15 @@
     }
 
     fn finish(&mut self, ending: Ending) -> Request {
-        let gathered = std::mem::take(self);
-        let class = gathered.executed.or(gathered.described);
+        let read = std::mem::take(self);
+        let class = read.executed.or(read.described);
         Request {
-            frames: gathered.frames,
+            frames: read.frames,
             ending,
             class: class.unwrap_or(Class::Empty),
-            is_executed: gathered.executed.is_some(),
+            is_executed: read.executed.is_some(),
             sql: None,
-            refusal: gathered.refusal,
+            refusal: read.refusal,
         }
     }
 }
--- a/src/proxy/session.rs
+++ b/src/proxy/session.rs
@@ -21,7 +21,7 @@
 const IDEMPOTENT_PARAMETER: &str = "foxtailknot.idempotent";
 
 /// Parameters of the database that are set again on each connection.
-const CARRIED: &[&str] = &[
+const CARRIED_PARAMETERS: &[&str] = &[
     "application_name",
     "bytea_output",
     "client_min_messages",
@@ -81,7 +81,7 @@
     }
 
     /// Records that the session has reached `position`; `true` if its token changes.
-    pub fn reach(&mut self, position: Position) -> bool {
+    pub fn raise_floor(&mut self, position: Position) -> bool {
         let before = self.floor;
         match &mut self.floor {
             Floor::Known(known) => *known = position.max(*known),
@@ -138,9 +138,9 @@
     }
 
     /// Remembers a parameter of the database, if it is one that is carried.
-    pub fn carry(&mut self, name: &str, value: &str) -> bool {
+    pub fn set_carried(&mut self, name: &str, value: &str) -> bool {
         let name = name.to_lowercase();
-        if !CARRIED.contains(&name.as_str()) {
+        if !CARRIED_PARAMETERS.contains(&name.as_str()) {
             return false;
         }
         Arc::make_mut(&mut self.parameters).insert(name, value.to_owned());
--- a/src/proxy/slot/handle.rs
+++ b/src/proxy/slot/handle.rs
@@ -2,7 +2,7 @@
 
 use futures::channel::oneshot;
 
-use super::{Acquire, Granted, SlotMessage, SlotReport, Want};
+use super::{Access, Acquire, Granted, SlotMessage, SlotReport};
 use crate::{
     decide::acknowledge::{Commit, Decision},
     prelude::*,
@@ -16,27 +16,27 @@
 }
 
 impl SlotHandle {
-    /// Creates a handle and the mailbox behind it.
+    /// Creates a handle and the mailbox that its messages arrive in.
     pub fn new() -> (SlotHandle, flume::Receiver<SlotMessage>) {
         let (sender, receiver) = flume::unbounded();
         (SlotHandle { sender }, receiver)
     }
 
-    /// Sends a message; a slot that has stopped ignores it.
+    /// Sends a message; it is lost when the slot has stopped.
     pub fn send(&self, message: SlotMessage) {
-        // A stopped slot has dropped its connections already.
+        // A stopped slot has already dropped its connections.
         let _ = self.sender.send(message);
     }
 
-    /// Asks for a connection.
+    /// Acquires a connection.
     ///
     /// # Errors
     ///
     /// Returns a refusal when none is granted before the deadline.
-    pub async fn acquire(&self, want: Want, deadline_ms: u64) -> Result<Granted, Refusal> {
+    pub async fn acquire(&self, access: Access, deadline_ms: u64) -> Result<Granted, Refusal> {
         let (reply, answer) = oneshot::channel();
         self.send(SlotMessage::Acquire(Acquire {
-            want,
+            access,
             deadline_ms,
             reply,
         }));
@@ -44,7 +44,7 @@
         answer.await.map_err(gone)?
     }
 
-    /// Gives a connection back.
+    /// Returns a connection that was in use for `held_us` microseconds.
     pub fn release(&self, connection: Connection, is_clean: bool, held_us: u64) {
         self.send(SlotMessage::Release {
             connection,
@@ -53,14 +53,15 @@
         });
     }
 
-    /// Waits until a commit may be acknowledged or its outcome is not known.
+    /// Waits until a commit may be acknowledged, or until that can no longer be
+    /// decided in time.
     pub async fn confirm(&self, commit: Commit) -> Decision {
         let (reply, answer) = oneshot::channel();
         self.send(SlotMessage::Confirm { commit, reply });
         answer.await.unwrap_or(Decision::Unknown)
     }
 
-    /// Whether a member is gone, or replaced since `term`.
+    /// Whether a member no longer answers, or a newer term than `term` began.
     pub async fn is_gone(&self, member: usize, term: u64) -> bool {
         let (reply, answer) = oneshot::channel();
         self.send(SlotMessage::Check {
@@ -71,7 +72,7 @@
         answer.await.unwrap_or(true)
     }
 
-    /// What the slot knows.
+    /// The slot's view of its members and its load.
     pub async fn report(&self) -> SlotReport {
         let (reply, answer) = oneshot::channel();
         self.send(SlotMessage::Report { reply });
--- a/src/proxy/slot/member.rs
+++ b/src/proxy/slot/member.rs
@@ -7,15 +7,15 @@
     proxy::{connect::ConnectOptions, connection::Connection},
 };
 
-/// A request whose member is chosen and that waits for a connection to it.
-pub struct Ready {
+/// A read that is routed to a member and waits for a connection to it.
+pub struct QueuedRead {
     /// The request.
     pub acquire: Acquire,
-    /// Position that its reads will see.
+    /// Minimum position that the read will see.
     pub floor: Option<Position>,
-    /// Why this member.
+    /// Reason for the choice of member, for logs and metrics.
     pub reason: &'static str,
-    /// Time it started to wait, in milliseconds.
+    /// Time it arrived, in milliseconds.
     pub since_ms: u64,
 }
 
@@ -23,27 +23,27 @@
 pub struct SlotMember {
     /// Name.
     pub name: Name,
-    /// How to connect.
+    /// How to open connections to it.
     pub connect_options: ConnectOptions,
-    /// What is known of it.
+    /// Its state as last reported.
     pub view: MemberView,
-    /// Connections that nobody uses.
+    /// Idle connections.
     pub idle: Vec<Connection>,
-    /// Connections that are open or being opened.
+    /// Number of connections that are open or being opened.
     pub open: usize,
-    /// Connections that are being opened.
+    /// Number of connections that are being opened.
     pub opening: usize,
-    /// Requests that wait for a connection.
-    pub ready: AdmissionQueue<Ready>,
-    /// Asks for a report.
-    pub ask: flume::Sender<()>,
-    /// Whether a question is under way.
-    pub is_asked: bool,
-    /// Earliest time of the next question, in milliseconds.
-    pub next_ask_ms: u64,
-    /// Time before which no connection is opened, in milliseconds.
-    pub open_after_ms: u64,
-    /// Time a request last ended well on it, in milliseconds.
+    /// Reads that wait for a connection to it.
+    pub reads: AdmissionQueue<QueuedRead>,
+    /// Requests a status report.
+    pub report_requests: flume::Sender<()>,
+    /// Whether a report has been requested and not arrived.
+    pub is_report_requested: bool,
+    /// Earliest time to request the next report, in milliseconds.
+    pub next_report_ms: u64,
+    /// Time before which no connection is opened after a failure, in milliseconds.
+    pub reconnect_after_ms: u64,
+    /// Time a connection to it was last returned in a clean state, in milliseconds.
     pub served_ms: u64,
 }
 
@@ -58,7 +58,7 @@
         None
     }
 
-    /// Time that its last report was asked for, in milliseconds.
+    /// Time its last report was requested, in milliseconds.
     pub fn asked_ms(&self) -> Option<u64> {
         self.view.observation.map(|o| o.asked_ms)
     }
--- a/src/proxy/slot/message.rs
+++ b/src/proxy/slot/message.rs
@@ -13,53 +13,53 @@
     settings::ServiceSettings,
 };
 
-/// What a request needs a connection for.
+/// Kind of access that a request needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Want {
+pub enum Access {
     /// To read at `floor` or later.
     Read {
-        /// Position the session must see.
+        /// Minimum position that the session must see.
         floor: Floor,
-        /// Oldest data accepted, in milliseconds.
+        /// Largest accepted age of the data, in milliseconds.
         max_age_ms: Option<u64>,
     },
     /// To write.
     Write,
-    /// To begin a transaction that may write: its reads need the floor too.
+    /// To begin a transaction that may write; its reads need the floor too.
     Begin {
-        /// Position the session must see.
+        /// Minimum position that the session must see.
         floor: Floor,
     },
 }
 
 /// A request for a connection.
 pub struct Acquire {
-    /// What for.
-    pub want: Want,
+    /// Kind of access.
+    pub access: Access,
     /// Latest time to grant it, in milliseconds.
     pub deadline_ms: u64,
     /// Answer.
     pub reply: oneshot::Sender<std::result::Result<Granted, Refusal>>,
 }
 
-/// A connection that was granted.
+/// A granted connection.
 pub struct Granted {
     /// The connection.
     pub connection: Connection,
-    /// Position that the reads on it are known to see.
+    /// Minimum position that reads on it will see.
     pub floor: Option<Position>,
     /// Whether the member is the primary.
     pub is_primary: bool,
 }
 
-/// What a slot knows, for other VMs and for operators.
+/// A slot's view of its members and its load, for other VMs and operators.
 #[derive(Clone, Debug, Default)]
 pub struct SlotReport {
     /// Members.
     pub members: Vec<MemberView>,
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub waiting: usize,
-    /// Connections open.
+    /// Number of open connections.
     pub open: usize,
 }
 
@@ -67,13 +67,13 @@
 pub enum SlotMessage {
     /// Grant a connection.
     Acquire(Acquire),
-    /// Take a connection back.
+    /// Return a connection.
     Release {
         /// The connection.
         connection: Connection,
-        /// Whether it is in a clean state.
+        /// Whether it has no open transaction or unread answer.
         is_clean: bool,
-        /// Time it was held, in microseconds.
+        /// Time it was in use, in microseconds.
         held_us: u64,
     },
     /// A connection was dropped.
@@ -81,20 +81,20 @@
         /// Index of the member.
         member: usize,
     },
-    /// A connection was opened, or not.
+    /// An attempt to open a connection has ended.
     Opened {
         /// Index of the member.
         member: usize,
-        /// The connection.
+        /// The connection, or why it failed.
         result: Result<Connection>,
     },
-    /// A member reported, or did not.
+    /// A member answered a status request, or failed to.
     Observed {
         /// Index of the member.
         member: usize,
-        /// Time it was asked, in milliseconds.
+        /// Time the report was requested, in milliseconds.
         asked_ms: u64,
-        /// The report.
+        /// The report; `None` when the member did not answer.
         observation: Option<Observation>,
     },
     /// A connection to a member broke.
@@ -109,22 +109,22 @@
         /// Answer.
         reply: oneshot::Sender<Decision>,
     },
-    /// Ask whether a member still answers.
+    /// Check whether a member still answers.
     Check {
         /// Index of the member.
         member: usize,
-        /// Term in which a connection to it was lent.
+        /// Term of the member when the connection to it was granted.
         term: u64,
-        /// Answer: whether it is gone or replaced.
+        /// Answer: whether it no longer answers or was replaced.
         reply: oneshot::Sender<bool>,
     },
-    /// Look for a new primary now.
+    /// Request all members' reports now, to find a new primary.
     Refresh,
-    /// Report what is known.
+    /// Report the slot's view of its members and its load.
     Report {
         /// Answer.
         reply: oneshot::Sender<SlotReport>,
     },
-    /// Use these settings from now on.
+    /// Replace the settings.
     Settings(Arc<ServiceSettings>),
 }
--- a/src/proxy/slot/mod.rs
+++ b/src/proxy/slot/mod.rs
@@ -1,4 +1,4 @@
-//! A slot: this VM's share of the connections to one service.
+//! A slot: this VM's share of the connections to the members of one service.
 
 mod handle;
 mod member;
@@ -6,5 +6,5 @@
 mod task;
 
 pub use handle::SlotHandle;
-pub use message::{Acquire, Granted, SlotMessage, SlotReport, Want};
+pub use message::{Access, Acquire, Granted, SlotMessage, SlotReport};
 pub use task::{SlotContext, run};
--- a/src/proxy/slot/task.rs
+++ b/src/proxy/slot/task.rs
@@ -1,4 +1,4 @@
-//! The task of a slot: it owns the connections and grants them.
+//! The task of a slot: owns its connections and grants them to requests.
 
 mod commits;
 mod connections;
@@ -8,8 +8,8 @@
 use futures::channel::oneshot;
 
 use super::{
-    Acquire, Granted, SlotHandle, SlotMessage, SlotReport, Want,
-    member::{Ready, SlotMember},
+    Access, Acquire, Granted, SlotHandle, SlotMessage, SlotReport,
+    member::{QueuedRead, SlotMember},
 };
 use crate::{
     clock,
@@ -33,23 +33,24 @@
     settings::ServiceSettings,
 };
 
-/// Longest time between two looks at the timers.
-const TICK_MS: u64 = 500;
-/// Pause between questions to a member that is waited for, in milliseconds.
-const PACE_MS: u64 = 2;
-/// Pause between questions to a member that does not answer, in milliseconds.
-const FAILED_PACE_MS: u64 = 100;
-/// Pause after a connection could not be opened, in milliseconds.
-const OPEN_PAUSE_MS: u64 = 50;
-/// Time after which a primary is asked before it gets a write, in milliseconds.
-const VERIFIED_MS: u64 = 1_000;
-/// Questions in a row without an answer after which a member counts as gone.
-const FAILURES_GONE: u32 = 2;
-/// Time after which a commit that nobody confirms raises doubt of the primary,
-/// in milliseconds.
-const UNCONFIRMED_MS: u64 = 300;
-/// Time within which a member that answered counts as alive, in milliseconds.
-const ALIVE_MS: u64 = 1_000;
+/// Interval of checks while no request waits and all members answer.
+const IDLE_TICK_MS: u64 = 500;
+/// Interval of report requests to a member whose report is waited for.
+const REPORT_INTERVAL_MS: u64 = 2;
+/// Interval of report requests to a member that does not answer.
+const FAILED_REPORT_INTERVAL_MS: u64 = 100;
+/// Delay before connections are opened again after a failed attempt.
+const RECONNECT_DELAY_MS: u64 = 50;
+/// Age of a primary's last answer above which it must report again before it is
+/// sent a write.
+const PRIMARY_VERIFIED_MS: u64 = 1_000;
+/// Consecutive failures after which a member counts as gone.
+const GONE_FAILURES: u32 = 2;
+/// Time a commit may stay unconfirmed before the primary is suspected.
+const UNCONFIRMED_SUSPECT_MS: u64 = 300;
+/// Time after a member's last answer for which a first failure does not count it
+/// as gone.
+const ALIVE_ANSWER_MS: u64 = 1_000;
 
 /// What a slot needs from its VM.
 #[derive(Clone)]
@@ -62,17 +63,17 @@
     pub zone: Name,
     /// Metrics.
     pub metrics: Metrics,
-    /// Told when the primary seems to fail.
+    /// Receives the service's name when its primary is suspected to have failed.
     pub primary_failed: flume::Sender<Name>,
 }
 
-struct Pending {
+struct PendingCommit {
     commit: Commit,
     deadline_ms: u64,
     reply: oneshot::Sender<Decision>,
 }
 
-struct Reading {
+struct UnroutedRequest {
     acquire: Acquire,
     request: ReadRequest,
 }
@@ -82,15 +83,16 @@
     handle: SlotHandle,
     members: Vec<SlotMember>,
     writes: AdmissionQueue<Acquire>,
-    reading: Vec<Reading>,
-    commits: Vec<Pending>,
+    unrouted: Vec<UnroutedRequest>,
+    commits: Vec<PendingCommit>,
+    /// Member, term, time of arrival in milliseconds, answer.
     checks: Vec<(usize, u64, u64, oneshot::Sender<bool>)>,
     ages: AgeTracker,
-    doubted_ms: u64,
+    suspected_ms: u64,
     capacity: usize,
 }
 
-/// Runs a slot until its handles are gone.
+/// Runs a slot until it is told to stop or its handles are dropped.
 pub async fn run(
     context: SlotContext,
     handle: SlotHandle,
@@ -98,7 +100,7 @@
     stop: flume::Receiver<()>,
 ) {
     let mut slot = Slot::new(context, handle);
-    slot.ask_all();
+    slot.request_all_reports();
     loop {
         let wait = slot.next_timer();
         let receive = mailbox.recv_async();
@@ -106,7 +108,7 @@
         futures::select! {
             message = futures::FutureExt::fuse(compio::time::timeout(wait, receive)) => {
                 match message {
-                    Ok(Ok(message)) => slot.take(message),
+                    Ok(Ok(message)) => slot.handle_message(message),
                     Ok(Err(_)) => return,
                     Err(_) => {}
                 }
@@ -116,11 +118,11 @@
                 return;
             }
         }
-        // A batch of messages needs only one look at what waits.
+        // Handle all queued messages before the waiting requests are processed.
         for message in mailbox.drain() {
-            slot.take(message);
+            slot.handle_message(message);
         }
-        slot.pump();
+        slot.process();
     }
 }
 
@@ -130,11 +132,11 @@
         let mut slot = Slot {
             members: Vec::new(),
             writes: AdmissionQueue::new(context.settings.queue_length),
-            reading: Vec::new(),
+            unrouted: Vec::new(),
             commits: Vec::new(),
             checks: Vec::new(),
             ages: AgeTracker::default(),
-            doubted_ms: 0,
+            suspected_ms: 0,
             capacity,
             context,
             handle,
@@ -167,37 +169,37 @@
                 };
                 SlotMember {
                     name,
-                    ask: self.start_watch(index, connect_options.clone()),
+                    report_requests: self.start_polling(index, connect_options.clone()),
                     connect_options,
                     view,
                     idle: Vec::new(),
                     open: 0,
                     opening: 0,
-                    ready: AdmissionQueue::new(settings.queue_length),
-                    is_asked: false,
-                    next_ask_ms: 0,
-                    open_after_ms: 0,
+                    reads: AdmissionQueue::new(settings.queue_length),
+                    is_report_requested: false,
+                    next_report_ms: 0,
+                    reconnect_after_ms: 0,
                     served_ms: 0,
                 }
             })
             .collect();
     }
 
-    fn start_watch(&self, member: usize, options: ConnectOptions) -> flume::Sender<()> {
-        let (ask, asks) = flume::unbounded();
+    fn start_polling(&self, member: usize, options: ConnectOptions) -> flume::Sender<()> {
+        let (report_requests, requests) = flume::unbounded();
         let handle = self.handle.clone();
-        let tell = move |asked_ms, observation| {
+        let report = move |asked_ms, observation| {
             handle.send(SlotMessage::Observed {
                 member,
                 asked_ms,
                 observation,
             });
         };
-        compio::runtime::spawn(poll(options, asks, tell)).detach();
-        ask
+        compio::runtime::spawn(poll(options, requests, report)).detach();
+        report_requests
     }
 
-    fn take(&mut self, message: SlotMessage) {
+    fn handle_message(&mut self, message: SlotMessage) {
         match message {
             SlotMessage::Acquire(acquire) => self.acquire(acquire),
             SlotMessage::Release {
@@ -205,61 +207,63 @@
                 is_clean,
                 held_us,
             } => self.release(connection, is_clean, held_us),
-            SlotMessage::Closed { member } => self.closed(member),
-            SlotMessage::Opened { member, result } => self.opened(member, result),
+            SlotMessage::Closed { member } => self.connection_closed(member),
+            SlotMessage::Opened { member, result } => self.connection_opened(member, result),
             SlotMessage::Observed {
                 member,
                 asked_ms,
                 observation,
-            } => self.observed(member, asked_ms, observation),
-            SlotMessage::Failed { member } => self.failed(member),
+            } => self.handle_report(member, asked_ms, observation),
+            SlotMessage::Failed { member } => self.connection_failed(member),
             SlotMessage::Confirm { commit, reply } => self.confirm(commit, reply),
             SlotMessage::Check {
                 member,
                 term,
                 reply,
             } => self.check(member, term, reply),
-            SlotMessage::Refresh => self.ask_all(),
+            SlotMessage::Refresh => self.request_all_reports(),
             SlotMessage::Report { reply } => {
-                // The asker may have gone away.
+                // The receiver may have been dropped.
                 let _ = reply.send(self.report());
             }
             SlotMessage::Settings(settings) => self.change_settings(settings),
         }
     }
 
-    /// Serves what can be served, asks what must be known, opens what lacks.
-    fn pump(&mut self) {
+    /// Routes and serves waiting requests, opens connections and requests the
+    /// reports that they need.
+    fn process(&mut self) {
         let now_ms = clock::now_ms();
-        self.expire(now_ms);
-        for reading in std::mem::take(&mut self.reading) {
-            self.decide_read(reading, now_ms);
+        self.expire_requests(now_ms);
+        for unrouted in std::mem::take(&mut self.unrouted) {
+            self.route_request(unrouted, now_ms);
         }
-        self.rescue_reads(now_ms);
+        self.reroute_reads(now_ms);
         for member in 0..self.members.len() {
             self.serve(member, now_ms);
         }
         self.answer_commits();
-        self.doubt_if_unconfirmed(now_ms);
-        self.ask_needed(now_ms);
+        self.suspect_unconfirmed_primary(now_ms);
+        self.request_needed_reports(now_ms);
     }
 
     fn next_timer(&self) -> Duration {
-        let waits = !self.reading.is_empty()
+        let waits = !self.unrouted.is_empty()
             || !self.commits.is_empty()
             || !self.writes.is_empty()
             || !self.checks.is_empty()
-            || self.members.iter().any(|m| !m.ready.is_empty());
+            || self.members.iter().any(|m| !m.reads.is_empty());
         let is_failed = self.members.iter().any(|m| m.view.failures > 0);
         let wait_ms = match (waits, is_failed) {
-            (true, _) => PACE_MS,
-            (false, true) => FAILED_PACE_MS,
-            (false, false) => TICK_MS,
+            (true, _) => REPORT_INTERVAL_MS,
+            (false, true) => FAILED_REPORT_INTERVAL_MS,
+            (false, false) => IDLE_TICK_MS,
         };
         Duration::from_millis(wait_ms)
     }
 
-    /// Takes settings of the same members; other members need a new slot.
+    /// Replaces the settings. The members must be the same: a change of members
+    /// needs a new slot.
     fn change_settings(&mut self, settings: Arc<ServiceSettings>) {
         self.context.settings = settings.clone();
         self.capacity = slot_capacity(&settings);
@@ -272,12 +276,12 @@
     fn refuse_all(&mut self) {
         let mut waiting = self.writes.drain();
         waiting.extend(
-            std::mem::take(&mut self.reading)
+            std::mem::take(&mut self.unrouted)
                 .into_iter()
                 .map(|r| r.acquire),
         );
         for member in &mut self.members {
-            waiting.extend(member.ready.drain().into_iter().map(|r| r.acquire));
+            waiting.extend(member.reads.drain().into_iter().map(|r| r.acquire));
         }
         for acquire in waiting {
             refuse(acquire, Code::Stopping);
@@ -288,10 +292,10 @@
     }
 
     fn report(&self) -> SlotReport {
-        let ready: usize = self.members.iter().map(|m| m.ready.len()).sum();
+        let queued: usize = self.members.iter().map(|m| m.reads.len()).sum();
         SlotReport {
             members: self.views(),
-            waiting: self.writes.len() + self.reading.len() + ready,
+            waiting: self.writes.len() + self.unrouted.len() + queued,
             open: self.members.iter().map(|m| m.open).sum(),
         }
     }
@@ -312,8 +316,8 @@
 
 /// Connections to each member that a slot may use for requests.
 ///
-/// One share of the budget stays free for a slot that is being handed over,
-/// and one connection is for reports.
+/// One share of the service's connection limit stays free for a slot that is
+/// being handed over, and one connection of each share is for status reports.
 fn slot_capacity(settings: &ServiceSettings) -> usize {
     let shares = settings.slots + 1;
     ((settings.connections / shares) as usize)
@@ -332,7 +336,7 @@
         Code::Stopping => "this VM gave the slot up",
         _ => "no connection became free before the deadline",
     };
-    // A caller that went away needs no answer.
+    // The caller may have disconnected.
     let _ = acquire.reply.send(Err(Refusal::new(code, text)));
 }
 
--- a/src/proxy/slot/task/commits.rs
+++ b/src/proxy/slot/task/commits.rs
@@ -1,11 +1,11 @@
-//! Commits that wait for their confirmation.
+//! Commits that wait for confirmation by replicas.
 
 use super::*;
 
 impl Slot {
     pub(super) fn confirm(&mut self, commit: Commit, reply: oneshot::Sender<Decision>) {
         let deadline_ms = clock::now_ms() + self.context.settings.acknowledge_wait_ms;
-        self.commits.push(Pending {
+        self.commits.push(PendingCommit {
             commit,
             deadline_ms,
             reply,
@@ -43,7 +43,7 @@
                 .metrics
                 .acknowledge_wait_ms
                 .record(waited_ms as f64, &[]);
-            // A caller that went away has learnt nothing.
+            // The caller may have disconnected.
             let _ = pending.reply.send(decided);
         }
     }
--- a/src/proxy/slot/task/reads.rs
+++ b/src/proxy/slot/task/reads.rs
@@ -1,20 +1,20 @@
-//! Requests that wait: what they need, and what must be known first.
+//! Routes waiting requests to members and queues them for connections.
 
 use super::*;
 
 impl Slot {
     pub(super) fn acquire(&mut self, acquire: Acquire) {
         let now_ms = clock::now_ms();
-        let (floor, max_age_ms) = match acquire.want {
-            Want::Write => return self.queue_write(acquire),
-            Want::Begin {
+        let (floor, max_age_ms) = match acquire.access {
+            Access::Write => return self.queue_write(acquire),
+            Access::Begin {
                 floor: Floor::Known(_),
             } => return self.queue_write(acquire),
-            Want::Begin { floor } => (floor, None),
-            Want::Read { floor, max_age_ms } => (floor, max_age_ms),
+            Access::Begin { floor } => (floor, None),
+            Access::Read { floor, max_age_ms } => (floor, max_age_ms),
         };
         let wait_ms = self.context.settings.replica_wait_ms;
-        let reading = Reading {
+        let unrouted = UnroutedRequest {
             request: ReadRequest {
                 floor,
                 max_age_ms,
@@ -23,7 +23,7 @@
             },
             acquire,
         };
-        self.decide_read(reading, now_ms);
+        self.route_request(unrouted, now_ms);
     }
 
     pub(super) fn queue_write(&mut self, acquire: Acquire) {
@@ -38,82 +38,89 @@
         }
     }
 
-    /// Decides a read; keeps it when it has to wait for reports.
-    pub(super) fn decide_read(&mut self, mut reading: Reading, now_ms: u64) {
+    /// Routes a request whose floor is known or can be determined from the
+    /// members' reports; keeps it waiting otherwise.
+    pub(super) fn route_request(&mut self, mut unrouted: UnroutedRequest, now_ms: u64) {
         let mode = self.context.settings.acknowledge;
         let views = self.views();
-        let floor = match reading.request.floor {
+        let floor = match unrouted.request.floor {
             Floor::Known(position) => Some(position),
-            Floor::Unknown => barrier(mode, &views, reading.request.arrived_ms),
+            Floor::Unknown => barrier(mode, &views, unrouted.request.arrived_ms),
         };
         let Some(position) = floor else {
-            self.reading.push(reading);
+            self.unrouted.push(unrouted);
             return;
         };
         let floor = Floor::Known(position);
-        reading.request.floor = floor;
-        if let Want::Begin { .. } = reading.acquire.want {
-            reading.acquire.want = Want::Begin { floor };
-            self.queue_write(reading.acquire);
+        unrouted.request.floor = floor;
+        if let Access::Begin { .. } = unrouted.acquire.access {
+            unrouted.acquire.access = Access::Begin { floor };
+            self.queue_write(unrouted.acquire);
             return;
         }
-        match route(&reading.request, &views, &self.ages, now_ms) {
-            route::Decision::Member(member, reason) => self.queue_read(member, reading, reason),
-            _ => self.reading.push(reading),
+        match route(&unrouted.request, &views, &self.ages, now_ms) {
+            route::Decision::Member(member, reason) => self.queue_read(member, unrouted, reason),
+            _ => self.unrouted.push(unrouted),
         }
     }
 
-    pub(super) fn queue_read(&mut self, member: usize, reading: Reading, reason: route::Reason) {
+    pub(super) fn queue_read(
+        &mut self,
+        member: usize,
+        unrouted: UnroutedRequest,
+        reason: route::Reason,
+    ) {
         let now_ms = clock::now_ms();
-        let left_ms = reading.acquire.deadline_ms.saturating_sub(now_ms);
+        let left_ms = unrouted.acquire.deadline_ms.saturating_sub(now_ms);
         let chosen = &mut self.members[member];
-        if let Admission::Refuse { retry_after_ms } = chosen.ready.admit(left_ms, self.capacity) {
-            refuse_overloaded(reading.acquire, retry_after_ms);
+        if let Admission::Refuse { retry_after_ms } = chosen.reads.admit(left_ms, self.capacity) {
+            refuse_overloaded(unrouted.acquire, retry_after_ms);
             return;
         }
-        let floor = match reading.request.floor {
+        let floor = match unrouted.request.floor {
             Floor::Known(position) => Some(position),
             Floor::Unknown => None,
         };
-        let deadline_ms = reading.acquire.deadline_ms;
-        let ready = Ready {
-            acquire: reading.acquire,
+        let deadline_ms = unrouted.acquire.deadline_ms;
+        let queued = QueuedRead {
+            acquire: unrouted.acquire,
             floor,
             reason: reason.into(),
-            since_ms: reading.request.arrived_ms,
+            since_ms: unrouted.request.arrived_ms,
         };
-        chosen.ready.push(0, deadline_ms, ready);
+        chosen.reads.push(0, deadline_ms, queued);
     }
 
-    /// Decides again for reads whose member no longer answers.
-    pub(super) fn rescue_reads(&mut self, now_ms: u64) {
+    /// Routes again the reads that are queued for a member that can no longer be
+    /// used.
+    pub(super) fn reroute_reads(&mut self, now_ms: u64) {
         for index in 0..self.members.len() {
             let view = &self.members[index].view;
             let is_usable = view.is_usable() || self.primary() == Some(index);
-            if is_usable || self.members[index].ready.is_empty() {
+            if is_usable || self.members[index].reads.is_empty() {
                 continue;
             }
-            for ready in self.members[index].ready.drain() {
-                let Want::Read { max_age_ms, .. } = ready.acquire.want else {
+            for queued in self.members[index].reads.drain() {
+                let Access::Read { max_age_ms, .. } = queued.acquire.access else {
                     continue;
                 };
-                let floor = ready.floor.map_or(Floor::Unknown, Floor::Known);
+                let floor = queued.floor.map_or(Floor::Unknown, Floor::Known);
                 let request = ReadRequest {
                     floor,
                     max_age_ms,
                     arrived_ms: now_ms,
                     wait_until_ms: now_ms,
                 };
-                let reading = Reading {
-                    acquire: ready.acquire,
+                let unrouted = UnroutedRequest {
+                    acquire: queued.acquire,
                     request,
                 };
-                self.decide_read(reading, now_ms);
+                self.route_request(unrouted, now_ms);
             }
         }
     }
 
-    pub(super) fn expire(&mut self, now_ms: u64) {
+    pub(super) fn expire_requests(&mut self, now_ms: u64) {
         let has_primary = self.primary().is_some();
         for acquire in self.writes.expire(now_ms) {
             let code = match has_primary {
@@ -123,17 +130,17 @@
             refuse(acquire, code);
         }
         for member in &mut self.members {
-            for ready in member.ready.expire(now_ms) {
-                refuse(ready.acquire, Code::QueueTimeout);
+            for queued in member.reads.expire(now_ms) {
+                refuse(queued.acquire, Code::QueueTimeout);
             }
         }
-        let (expired, kept) = std::mem::take(&mut self.reading)
+        let (expired, kept) = std::mem::take(&mut self.unrouted)
             .into_iter()
             .partition(|r| now_ms > r.acquire.deadline_ms);
-        self.reading = kept;
-        let expired: Vec<Reading> = expired;
-        for reading in expired {
-            refuse(reading.acquire, Code::NoPrimary);
+        self.unrouted = kept;
+        let expired: Vec<UnroutedRequest> = expired;
+        for unrouted in expired {
+            refuse(unrouted.acquire, Code::NoPrimary);
         }
     }
 }
--- a/src/proxy/startup.rs
+++ b/src/proxy/startup.rs
@@ -22,7 +22,7 @@
 const SERVER_VERSION: &str = "16.0 (foxtailknot)";
 
 /// What a new connection asks for.
-pub enum Opening {
+pub enum StartupRequest {
     /// A session.
     Session(Startup),
     /// The end of another connection's request.
@@ -34,7 +34,7 @@
 /// # Errors
 ///
 /// Returns an error when the first bytes are not PostgreSQL's protocol.
-pub async fn read_opening(wire: &mut Wire) -> Result<Opening> {
+pub async fn read_startup(wire: &mut Wire) -> Result<StartupRequest> {
     let mut context = DecodeContext::default();
     loop {
         check_length(wire)?;
@@ -47,10 +47,10 @@
                 wire.flush().await?;
             }
             Some(PgWireFrontendMessage::Startup(startup)) => {
-                return Ok(Opening::Session(startup));
+                return Ok(StartupRequest::Session(startup));
             }
             Some(PgWireFrontendMessage::CancelRequest(request)) => {
-                return Ok(Opening::Cancel(request));
+                return Ok(StartupRequest::Cancel(request));
             }
             Some(_) => return Err(ProxyError::protocol("no startup message")),
             None => wire.fill().await?,
@@ -89,7 +89,7 @@
             "client_encoding" => check_encoding(value)?,
             name if name.starts_with(OWN_PREFIX) => session.set_own(name, value)?,
             name => {
-                session.carry(name, value);
+                session.set_carried(name, value);
             }
         }
     }
@@ -125,7 +125,7 @@
         };
         if name.starts_with(OWN_PREFIX) {
             session.set_own(name, value)?;
-        } else if !session.carry(name, value) {
+        } else if !session.set_carried(name, value) {
             let text = format!("option {name} is not carried between connections");
             return Err(Refusal::new(Code::StartupRefused, text));
         }
@@ -134,7 +134,7 @@
 }
 
 /// Queues the messages that end the start.
-pub fn put_welcome(wire: &mut Wire, session: &Session, key: (i32, i32)) {
+pub fn put_startup_reply(wire: &mut Wire, session: &Session, key: (i32, i32)) {
     let output = wire.output();
     message::put(output, &Authentication::Ok);
     let parameters = [
--- a/src/proxy/wire.rs
+++ b/src/proxy/wire.rs
@@ -1,4 +1,4 @@
-//! A socket with its buffers.
+//! A socket with its read and write buffers, split into protocol messages.
 
 use bytes::{Buf, BytesMut};
 use compio::{
@@ -13,28 +13,29 @@
 };
 use crate::prelude::*;
 
-/// Bytes reserved before a read.
+/// Buffer space reserved for a read.
 const READ_BYTES: usize = 4 << 10;
-/// Bytes reserved for a read once the last one filled its buffer.
-const READ_MORE_BYTES: usize = 32 << 10;
-/// Rows longer than this are passed on in pieces.
-const PART_BYTES: usize = 64 << 10;
-/// Bytes of output that are written without waiting for more.
+/// Buffer space reserved for a read after one that returned at least
+/// `READ_BYTES`.
+const BULK_READ_BYTES: usize = 32 << 10;
+/// Rows longer than this are forwarded in pieces.
+const LARGE_ROW_BYTES: usize = 64 << 10;
+/// Size of the output buffer at which it is written to the socket.
 const FLUSH_BYTES: usize = 32 << 10;
-/// Capacity that an output buffer keeps between requests, in bytes.
-const KEEP_BYTES: usize = 8 << 10;
+/// Largest output buffer that is kept between requests.
+const OUTPUT_KEEP_BYTES: usize = 8 << 10;
 
-/// A socket with its buffers, owned by one task.
+/// A socket with its read and write buffers, owned by one task.
 pub struct Wire {
     stream: TcpStream,
     input: BytesMut,
     output: BytesMut,
-    part_left: usize,
+    row_remaining: usize,
     frame_max: usize,
-    is_bulky: bool,
+    reads_bulk: bool,
 }
 
-/// Whether a socket is open and nothing waits to be read.
+/// Whether a socket is open and has no bytes to read.
 pub fn is_open_and_idle(stream: &TcpStream) -> bool {
     let mut byte = [std::mem::MaybeUninit::uninit()];
     match socket2::SockRef::from(stream).peek(&mut byte) {
@@ -50,9 +51,9 @@
             stream,
             input: BytesMut::new(),
             output: BytesMut::new(),
-            part_left: 0,
+            row_remaining: 0,
             frame_max,
-            is_bulky: false,
+            reads_bulk: false,
         }
     }
 
@@ -61,7 +62,7 @@
         &self.stream
     }
 
-    /// Bytes that were read and not taken.
+    /// Bytes that were read but not yet decoded.
     pub fn input(&mut self) -> &mut BytesMut {
         &mut self.input
     }
@@ -71,8 +72,8 @@
         &mut self.output
     }
 
-    /// Whether the other side has closed the connection or sent anything
-    /// that nobody asked for.
+    /// Whether the other side has closed the connection or sent unexpected
+    /// bytes.
     pub fn is_stale(&self) -> bool {
         !is_open_and_idle(&self.stream) || !self.input.is_empty()
     }
@@ -84,8 +85,8 @@
     /// Returns [`ProxyError::Closed`] at the end of the stream.
     pub async fn fill(&mut self) -> Result<()> {
         let mut buffer = std::mem::take(&mut self.input);
-        let wanted = match self.is_bulky {
-            true => READ_MORE_BYTES,
+        let wanted = match self.reads_bulk {
+            true => BULK_READ_BYTES,
             false => READ_BYTES,
         };
         if buffer.capacity() - buffer.len() < wanted {
@@ -96,13 +97,13 @@
         match result? {
             0 => Err(ProxyError::Closed),
             count => {
-                self.is_bulky = count >= READ_BYTES;
+                self.reads_bulk = count >= READ_BYTES;
                 Ok(())
             }
         }
     }
 
-    /// Takes a whole message if one is there.
+    /// Takes a whole message from the read buffer if it holds one.
     ///
     /// # Errors
     ///
@@ -121,13 +122,13 @@
         Ok(Some(Frame { bytes }))
     }
 
-    /// Takes a whole message, or a piece of a long row.
+    /// Takes a whole message, or a piece of a long row, from the read buffer.
     ///
     /// # Errors
     ///
     /// Returns an error for a bad length.
     pub fn take_chunk(&mut self) -> Result<Option<Chunk>> {
-        if self.part_left > 0 {
+        if self.row_remaining > 0 {
             return Ok(self.take_part());
         }
         let Some(total) = self.frame_bytes()? else {
@@ -137,8 +138,8 @@
             let bytes = self.input.split_to(total).freeze();
             return Ok(Some(Chunk::Frame(Frame { bytes })));
         }
-        if total > PART_BYTES && self.input[0] == from_endpoint::ROW {
-            self.part_left = total;
+        if total > LARGE_ROW_BYTES && self.input[0] == from_endpoint::ROW {
+            self.row_remaining = total;
             return Ok(self.take_part());
         }
         Ok(None)
@@ -158,17 +159,17 @@
         }
     }
 
-    /// Queues bytes.
+    /// Queues bytes to be written.
     pub fn push(&mut self, bytes: &[u8]) {
         self.output.extend_from_slice(bytes);
     }
 
-    /// Whether so much is queued that it should be written.
+    /// Whether enough output is queued that it should be written.
     pub fn is_full(&self) -> bool {
         self.output.len() >= FLUSH_BYTES
     }
 
-    /// Writes what is queued. A slow reader makes this wait.
+    /// Writes the queued output; waits while the other side reads slowly.
     ///
     /// # Errors
     ///
@@ -180,20 +181,20 @@
         let buffer = std::mem::take(&mut self.output);
         let BufResult(result, mut buffer) = (&self.stream).write_all(buffer).await;
         buffer.clear();
-        if buffer.capacity() <= KEEP_BYTES {
+        if buffer.capacity() <= OUTPUT_KEEP_BYTES {
             self.output = buffer;
         }
         Ok(result?)
     }
 
-    /// Writes what is queued and waits until the other side has closed, or for
-    /// `limit`: closing while input is unread resets the connection, and the
-    /// other side may lose what was written last.
+    /// Writes the queued output, then waits up to `limit` for the other side to
+    /// close. Closing with unread input would reset the connection, and the other
+    /// side could lose the last output.
     ///
     /// # Errors
     ///
     /// Returns an error when the connection breaks.
-    pub async fn finish(&mut self, limit: Duration) -> Result<()> {
+    pub async fn close_gracefully(&mut self, limit: Duration) -> Result<()> {
         self.flush().await?;
         (&self.stream).shutdown().await?;
         let closed = compio::time::timeout(limit, async {
@@ -205,11 +206,11 @@
     }
 
     fn take_part(&mut self) -> Option<Chunk> {
-        let count = self.part_left.min(self.input.len());
+        let count = self.row_remaining.min(self.input.len());
         if count == 0 {
             return None;
         }
-        self.part_left -= count;
+        self.row_remaining -= count;
         Some(Chunk::Part(self.input.split_to(count).freeze()))
     }
 
