--- a/src/proxy/cancel.rs
+++ b/src/proxy/cancel.rs
@@ -43,8 +43,8 @@
     }
 
     /// Records where a caller's request runs; `None` when it has ended.
-    pub fn set(&self, key: CancelKey, running_request: Option<RunningRequest>) {
-        self.running.borrow_mut().insert(key, running_request);
+    pub fn set(&self, key: CancelKey, request: Option<RunningRequest>) {
+        self.running.borrow_mut().insert(key, request);
     }
 
     /// Removes a caller that has disconnected.
@@ -56,16 +56,16 @@
     /// PostgreSQL, an unknown key or a request that has ended is ignored.
     pub async fn cancel(&self, request: &CancelRequest) {
         let key = (request.pid, secret(&request.secret_key));
-        let running_request = self.running.borrow().get(&key).copied().flatten();
-        let Some(running_request) = running_request else {
+        let running = self.running.borrow().get(&key).copied().flatten();
+        let Some(running) = running else {
             return;
         };
         let mut bytes = bytes::BytesMut::new();
         message::put(
             &mut bytes,
-            &CancelRequest::new(running_request.key.0, SecretKey::I32(running_request.key.1)),
+            &CancelRequest::new(running.key.0, SecretKey::I32(running.key.1)),
         );
-        if let Ok(mut stream) = TcpStream::connect(running_request.address).await {
+        if let Ok(mut stream) = TcpStream::connect(running.address).await {
             // The endpoint closes without an answer.
             let _ = stream.write_all(bytes).await;
         }
--- a/src/proxy/class_cache.rs
+++ b/src/proxy/class_cache.rs
@@ -1,4 +1,4 @@
-//! Classes of statements seen lately, so that each is parsed once.
+//! Cache of statement classes, so that a repeated statement is parsed once.
 
 use std::cell::RefCell;
 
@@ -7,27 +7,27 @@
     prelude::*,
 };
 
-/// Most statements remembered.
+/// Maximum number of cached statements; the cache is cleared when it is full.
 const CAPACITY: usize = 4_096;
-/// Longest statement remembered, in bytes.
+/// Longest cached statement, in bytes.
 const LENGTH_MAX: usize = 2_048;
 
 thread_local! {
-    static SEEN: RefCell<BTreeMap<Box<str>, Class>> = const { RefCell::new(BTreeMap::new()) };
+    static CACHE: RefCell<BTreeMap<Box<str>, Class>> = const { RefCell::new(BTreeMap::new()) };
 }
 
-/// Class of a statement.
+/// Class of a statement, from the cache if possible.
 pub fn class_of(sql: &str) -> Class {
-    SEEN.with_borrow_mut(|seen| {
-        if let Some(class) = seen.get(sql) {
+    CACHE.with_borrow_mut(|cache| {
+        if let Some(class) = cache.get(sql) {
             return *class;
         }
         let class = classify(sql);
         if sql.len() <= LENGTH_MAX {
-            if seen.len() >= CAPACITY {
-                seen.clear();
+            if cache.len() >= CAPACITY {
+                cache.clear();
             }
-            seen.insert(sql.into(), class);
+            cache.insert(sql.into(), class);
         }
         class
     })
--- a/src/proxy/connect.rs
+++ b/src/proxy/connect.rs
@@ -1,4 +1,4 @@
-//! Opening connections to endpoints and to other VMs.
+//! Opens connections to endpoints and to other VMs.
 
 use std::net::SocketAddr;
 
@@ -17,12 +17,12 @@
 
 /// Longest time to open a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// Largest message from an endpoint that is held whole, in bytes.
+/// Largest message from an endpoint that is buffered whole.
 const FRAME_MAX_BYTES: usize = 1 << 30;
-/// Name that foxtailknot gives itself at endpoints.
+/// `application_name` of connections to endpoints and VMs.
 pub const APPLICATION_NAME: &str = "foxtailknot";
 
-/// Whom to connect as, and where.
+/// How to open a connection.
 #[derive(Clone, Debug)]
 pub struct ConnectOptions {
     /// Address.
@@ -31,7 +31,7 @@
     pub user: Name,
     /// Database.
     pub database: Name,
-    /// What the connection leads to.
+    /// The other end.
     pub target: ConnectionTarget,
 }
 
@@ -39,7 +39,8 @@
 ///
 /// # Errors
 ///
-/// Returns an error when nobody answers or the other side refuses.
+/// Returns an error when the other side can't be reached, refuses or does not
+/// answer in time.
 pub async fn connect(options: ConnectOptions, permit: Option<Permit>) -> Result<Connection> {
     let opened = compio::time::timeout(CONNECT_TIMEOUT, open(options, permit)).await;
     opened.map_err(|_| ProxyError::Timeout)?
@@ -98,7 +99,7 @@
     message::put(output, &startup);
 }
 
-/// A secret of four bytes as a number.
+/// The first four bytes of a secret key as a number.
 pub fn secret(key: &SecretKey) -> i32 {
     match key {
         SecretKey::I32(number) => *number,
--- a/src/proxy/connection.rs
+++ b/src/proxy/connection.rs
@@ -1,31 +1,32 @@
-//! Connections that requests borrow: to a member, or to a slot on another VM.
+//! Connections that requests run on: to a member, or to a VM that holds a slot.
 
 use std::net::SocketAddr;
 
 use super::{session::Parameters, wire::Wire};
 use crate::prelude::*;
 
-/// Prepared statements after which a connection is not reused.
+/// Number of prepared statements from which a connection is not reused.
 const PREPARED_MAX: usize = 1_000;
 
-/// Where a connection leads.
+/// The other end of a connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ConnectionTarget {
-    /// To a member, opened or chosen while it stood in this term.
+    /// A member.
     Member {
         /// Index of the member.
         member: usize,
-        /// Term of the member when the connection was lent.
+        /// Term of the member when the connection was granted.
         term: u64,
     },
-    /// To another VM that holds a slot.
+    /// Another VM that holds a slot.
     Vm {
         /// Name of the VM.
         vm: Name,
     },
 }
 
-/// Gives a connection's place back when the connection is dropped.
+/// Runs a function when a connection is dropped, so that it no longer counts
+/// as open.
 pub struct Permit(Option<Box<dyn FnOnce()>>);
 
 impl Permit {
@@ -43,23 +44,23 @@
     }
 }
 
-/// A connection with what is known of its state.
+/// A connection and its protocol state.
 pub struct Connection {
-    /// The socket.
+    /// Socket.
     pub wire: Wire,
-    /// Where it leads.
+    /// The other end.
     pub target: ConnectionTarget,
-    /// Address it leads to.
+    /// Address of the other end.
     pub address: SocketAddr,
-    /// Statements it knows by key.
+    /// Keys of the statements that are prepared on it.
     pub prepared: BTreeSet<Name>,
-    /// Key of the statement it knows as the unnamed one.
+    /// Key of its unnamed statement.
     pub unnamed: Option<Name>,
     /// Parameters set on it.
     pub parameters: Parameters,
-    /// Process id and secret for cancel requests.
+    /// Process id and secret key for cancel requests.
     pub key: (i32, i32),
-    /// Place in the budget.
+    /// Counts it as open while it lives.
     pub permit: Option<Permit>,
 }
 
@@ -69,7 +70,7 @@
         !self.needs_replacement() && !self.wire.is_stale()
     }
 
-    /// Whether it has served so many statements that a new one is better.
+    /// Whether it holds so many prepared statements that a new one replaces it.
     pub fn needs_replacement(&self) -> bool {
         self.prepared.len() >= PREPARED_MAX
     }
--- a/src/proxy/context.rs
+++ b/src/proxy/context.rs
@@ -1,4 +1,4 @@
-//! What every caller's task shares.
+//! State shared by the tasks of all callers.
 
 use std::rc::Rc;
 
@@ -13,28 +13,28 @@
 };
 use crate::{metrics::Metrics, prelude::*, settings::VmSettings};
 
-/// A question for the route to a service that the table lacks.
+/// A request to look up a service's route again.
 pub struct RouteRequest {
     /// Name of the service.
     pub service: Name,
-    /// Whether what is known has just failed.
+    /// Whether the known route has just failed.
     pub is_stale: bool,
-    /// Answer: set once the table has been looked at again.
+    /// Answered once the table is up to date.
     pub reply: oneshot::Sender<()>,
 }
 
-/// What every caller's task shares.
+/// State shared by the tasks of all callers.
 #[derive(Clone)]
 pub struct Context {
     /// Settings of this VM.
     pub settings: Arc<VmSettings>,
     /// Metrics.
     pub metrics: Metrics,
-    /// Routes as published last.
+    /// Routes as last published.
     pub routes: watch::Receiver<Rc<RouteTable>>,
-    /// Asks the control task for a route.
+    /// Requests to the control task.
     pub route_requests: flume::Sender<RouteRequest>,
-    /// Connections to slots on other VMs.
+    /// Connections to VMs that hold slots.
     pub peer_pool: PeerPool,
     /// Set once the VM is stopping.
     pub draining: watch::Receiver<bool>,
@@ -48,7 +48,8 @@
         self.routes.borrow().get(service).cloned()
     }
 
-    /// Route to a service that can be reached, asking for it once if needed.
+    /// Route to a service, looked up again first if it is stale or leads to no
+    /// slot.
     ///
     /// # Errors
     ///
@@ -59,13 +60,13 @@
             return Ok(route);
         }
         let (reply, answer) = oneshot::channel();
-        let question = RouteRequest {
+        let request = RouteRequest {
             service: service.clone(),
             is_stale,
             reply,
         };
-        // Without an answer the table stays as it is.
-        let _ = self.route_requests.send(question);
+        // Without an answer the last published route is used.
+        let _ = self.route_requests.send(request);
         let _ = answer.await;
         self.route(service).ok_or_else(|| {
             let text = format!("service {service:?} is not configured");
--- a/src/proxy/error.rs
+++ b/src/proxy/error.rs
@@ -1,20 +1,20 @@
-//! Errors of the statement path.
+//! Errors of connections and refusals of requests.
 
 use crate::prelude::*;
 
 /// Why a connection or a request failed.
 #[derive(Debug, derive_more::Display, derive_more::Error)]
 pub enum ProxyError {
-    /// The connection broke.
+    /// Input or output failed.
     #[display("connection: {source}")]
     Io {
-        /// Why.
+        /// Cause.
         source: std::io::Error,
     },
     /// The other side closed the connection.
     #[display("the connection was closed")]
     Closed,
-    /// A message does not follow the protocol.
+    /// A message violates the protocol.
     #[display("protocol: {text}")]
     Protocol {
         /// What is wrong.
@@ -29,21 +29,21 @@
     /// The other side did not answer in time.
     #[display("no answer in time")]
     Timeout,
-    /// The other VM says that it did not run the request.
+    /// The other VM reported that it did not run the request.
     #[display("not run: {text}")]
     NotRun {
-        /// Its words.
+        /// Text of its error.
         text: String,
     },
     /// The endpoint refused the connection.
     #[display("the endpoint refused: {text}")]
     Refused {
-        /// Its words.
+        /// Text of its error.
         text: String,
     },
 }
 
-/// Result of the statement path.
+/// Result of work on a connection.
 pub type Result<T> = std::result::Result<T, ProxyError>;
 
 impl From<std::io::Error> for ProxyError {
@@ -59,21 +59,21 @@
 }
 
 impl ProxyError {
-    /// An error of a message that does not follow the protocol.
+    /// Error for a message that violates the protocol.
     pub fn protocol(text: impl Into<String>) -> ProxyError {
         ProxyError::Protocol { text: text.into() }
     }
 }
 
-/// A request that is answered with a numbered code.
+/// Refusal of a request, with a numbered error code.
 #[derive(Clone, Debug, PartialEq, Eq, derive_more::Display, derive_more::Error)]
 #[display("FK{}: {text}", code.number())]
 pub struct Refusal {
-    /// The code.
+    /// Error code.
     pub code: Code,
-    /// Text for a person.
+    /// Human-readable text.
     pub text: String,
-    /// Time after which to try again, in milliseconds.
+    /// Time after which the request may be retried, in milliseconds.
     pub retry_after_ms: Option<u64>,
 }
 
--- a/src/proxy/exchange.rs
+++ b/src/proxy/exchange.rs
@@ -1,8 +1,7 @@
-//! One request on one connection, and what comes back.
+//! One request on one connection, and its answer.
 //!
-//! The exchange knows how many answers the connection still owes. The end of
-//! the answer to a write is held back until the caller of this module knows
-//! whether it may be acknowledged.
+//! The exchange tracks which responses are still pending. The end of the answer
+//! is held back, so that a commit is not acknowledged before it is confirmed.
 
 mod answer;
 mod queue;
@@ -30,51 +29,51 @@
 };
 use crate::prelude::*;
 
-/// Time without an answer after which the member's health is asked.
+/// Time without data from the other side after which its health is checked.
 const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// Requests larger than this are written beside reading the answer.
+/// Requests larger than this are written while the answer is read.
 const CONCURRENT_WRITE_MIN_BYTES: usize = 64 << 10;
-/// Question for the position after a commit.
+/// Query for the position after a commit.
 const POSITION_SQL: &str = "SELECT pg_current_wal_lsn()";
-/// SQLSTATE of a write that a replica refused.
+/// SQLSTATE of a write that a replica refused, `read_only_sql_transaction`.
 const READ_ONLY_STATE: &str = "25006";
 
-/// Status of a connection outside a transaction.
+/// Transaction status outside a transaction.
 pub const IDLE_STATUS: u8 = b'I';
 
 /// How a request ended on the connection.
 #[derive(Debug, Default)]
 pub struct Answer {
-    /// Transaction status: `I`, `T` or `E`; zero after `Flush`.
+    /// Transaction status `I`, `T` or `E`; zero after `Flush`.
     pub status: u8,
-    /// Position after the request, if it was asked for.
+    /// Position after the request, if it was requested.
     pub lsn: Option<Lsn>,
     /// SQLSTATE of an error.
     pub error_state: Option<String>,
     /// Whether the last command was a rollback.
     pub is_rollback: bool,
-    /// End of the answer, to be passed on or replaced.
+    /// End of the answer, to be sent or replaced by a refusal.
     pub held_back: BytesMut,
-    /// Whether part of the answer has left this VM.
+    /// Whether part of the answer has been sent to the caller.
     pub is_partly_sent: bool,
-    /// Length of the caller's output before anything of the answer was queued.
+    /// Length of the caller's output buffer before any of the answer was queued.
     pub output_start: usize,
 }
 
 impl Answer {
-    /// Whether the endpoint proved that a write was not run.
+    /// Whether the endpoint refused a write, which proves that it was not run.
     pub fn is_refused_as_write(&self) -> bool {
         self.error_state.as_deref() == Some(READ_ONLY_STATE)
     }
 }
 
-/// Why an exchange broke off.
+/// Why an exchange failed.
 #[derive(Debug)]
 pub enum ExchangeError {
-    /// The connection to the endpoint; the flag tells whether part of the
-    /// answer has left this VM.
+    /// The connection to the endpoint or VM failed; the flag tells whether part of
+    /// the answer has been sent to the caller.
     Connection(ProxyError, bool),
-    /// The connection to the caller.
+    /// The connection to the caller failed.
     Caller(ProxyError),
 }
 
@@ -117,14 +116,14 @@
         }
     }
 
-    /// Sends the request and passes its answer on, except for its end.
+    /// Sends the request and forwards its answer, except for the end.
     ///
-    /// `is_dead` is asked whenever no answer came for a while; when it says
-    /// so the exchange breaks off.
+    /// `is_dead` is called whenever no data has arrived for
+    /// `STALL_CHECK_INTERVAL`; the exchange fails when it returns `true`.
     ///
     /// # Errors
     ///
-    /// Returns which connection broke.
+    /// Returns which connection failed.
     pub async fn run(
         mut self,
         request: &Request,
@@ -144,11 +143,11 @@
         self.receive(request.ending, &is_dead).await
     }
 
-    /// Asks for the position after a request that did not ask along with it.
+    /// Queries the position after a request that was sent without that query.
     ///
     /// # Errors
     ///
-    /// Returns an error when the connection broke.
+    /// Returns an error when the connection fails.
     pub async fn position(connection: &mut Connection) -> Result<Option<Lsn>> {
         message::put_query(connection.wire.output(), POSITION_SQL);
         connection.wire.flush().await?;
@@ -168,7 +167,7 @@
         ending: Ending,
         is_dead: &impl AsyncFn() -> bool,
     ) -> std::result::Result<Answer, ExchangeError> {
-        self.answer_own();
+        self.push_own_responses();
         while !self.is_done(ending) {
             let chunk = match next_chunk(&mut self.connection.wire, is_dead).await {
                 Ok(chunk) => chunk,
@@ -200,7 +199,8 @@
         has_status && self.stage != Stage::Position
     }
 
-    /// Forgets what was queued for the caller, if none of it has left.
+    /// Ends the exchange with an error. Discards what is queued for the caller, if
+    /// none of it has been sent.
     fn fail(self, error: ProxyError) -> ExchangeError {
         if !self.answer.is_partly_sent {
             self.caller.output().truncate(self.answer_start);
--- a/src/proxy/exchange/answer.rs
+++ b/src/proxy/exchange/answer.rs
@@ -1,4 +1,4 @@
-//! The side of an exchange that takes the answer.
+//! The receiving side of an exchange.
 
 use super::*;
 
@@ -49,7 +49,7 @@
                 self.answer.is_rollback = frame.body().starts_with(b"ROLLBACK");
                 self.pending.match_response(frame.tag());
                 self.hold_back(frame);
-                self.answer_own();
+                self.push_own_responses();
             }
             other => {
                 let (action, key) = self.pending.match_response(other);
@@ -59,13 +59,14 @@
                 if action == Action::Forward {
                     self.forward_to_caller(&frame.bytes);
                 }
-                self.answer_own();
+                self.push_own_responses();
             }
         }
         Ok(())
     }
 
-    /// A VM that stops says so instead of running the request.
+    /// A VM that is stopping refuses a request with its own code instead of running
+    /// it.
     pub(super) fn check_stopping(&self, text: &str) -> Result<()> {
         let is_vm = matches!(self.connection.target, ConnectionTarget::Vm { .. });
         let number = Code::Stopping.number();
@@ -100,7 +101,8 @@
         Ok(())
     }
 
-    /// A slot on another VM reports the session's position this way.
+    /// Takes over the session token, which the VM that holds the slot sends as a
+    /// parameter.
     pub(super) fn handle_parameter(&mut self, frame: &Frame) {
         let ConnectionTarget::Vm { .. } = self.connection.target else {
             return;
@@ -111,7 +113,8 @@
         if name != TOKEN_PARAMETER {
             return;
         }
-        // A slot's own token is good; a bad one leaves the floor as it is.
+        // The token was made by the other VM; an invalid one leaves the floor
+        // unchanged.
         let _ = self.session.set_own(&name, &value);
         self.forward_to_caller(&frame.bytes);
     }
@@ -133,7 +136,7 @@
         }
     }
 
-    pub(super) fn answer_own(&mut self) {
+    pub(super) fn push_own_responses(&mut self) {
         while let Some(pending) = self.pending.pop_own() {
             self.flush_held_back();
             match pending {
--- a/src/proxy/exchange/queue.rs
+++ b/src/proxy/exchange/queue.rs
@@ -1,4 +1,4 @@
-//! The side of an exchange that sends a request.
+//! The sending side of an exchange.
 
 use super::*;
 
@@ -42,7 +42,7 @@
         Ok(())
     }
 
-    /// Queues a `Parse`; `true` if it is of the unnamed statement.
+    /// Queues a `Parse`; returns `true` if it is of the unnamed statement.
     pub(super) fn queue_parse(&mut self, frame: &Frame) -> Result<bool> {
         let parse: pgwire::messages::extendedquery::Parse = message::read(frame)?;
         let name = parse.name.unwrap_or_default();
@@ -74,13 +74,14 @@
         });
     }
 
-    /// Makes the connection know a statement; the name to use for it there.
+    /// Prepares a statement on the connection unless it is prepared there. Returns
+    /// its name on the connection.
     pub(super) fn ensure_prepared(&mut self, name: &str, parsed_unnamed: bool) -> Option<String> {
         if !name.is_empty() {
             let prepared = self.session.statements.get(name).cloned()?;
             if !self.connection.prepared.contains(&prepared.key) {
                 self.put_parse(&prepared, false);
-                // Later messages of this request may rely on it.
+                // Later messages of this request may use the statement.
                 self.connection.prepared.insert(prepared.key.clone());
             }
             return Some(prepared.key.to_string());
@@ -145,12 +146,12 @@
         if self.connection.wire.output().len() <= CONCURRENT_WRITE_MIN_BYTES {
             return self.connection.wire.flush().await;
         }
-        // The endpoint may answer before it has read all; writing beside
-        // reading keeps both from waiting for each other.
+        // The endpoint may answer before it has read the whole request. Writing
+        // and reading at the same time avoids a deadlock.
         let bytes = std::mem::take(self.connection.wire.output());
         let mut stream = self.connection.wire.stream().clone();
         compio::runtime::spawn(async move {
-            // The reader notices a broken connection.
+            // The reading side detects a broken connection.
             let _ = stream.write_all(bytes).await;
         })
         .detach();
--- a/src/proxy/frame.rs
+++ b/src/proxy/frame.rs
@@ -1,8 +1,8 @@
-//! Frames of the PostgreSQL protocol.
+//! Messages of the PostgreSQL protocol in encoded form, and their tags.
 
 use bytes::Bytes;
 
-/// Bytes of a tag and a length.
+/// Size of a message's tag and length.
 pub const HEADER_BYTES: usize = 5;
 
 /// Tags of messages that callers send.
@@ -76,23 +76,23 @@
 /// A whole message with its header.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Frame {
-    /// Tag and length and body.
+    /// Tag, length and body.
     pub bytes: Bytes,
 }
 
 impl Frame {
-    /// The tag.
+    /// Message tag.
     pub fn tag(&self) -> u8 {
         self.bytes[0]
     }
 
-    /// What follows the header.
+    /// Bytes after the header.
     pub fn body(&self) -> &[u8] {
         &self.bytes[HEADER_BYTES..]
     }
 }
 
-/// A whole message, or a piece of one that is too long to hold.
+/// A whole message, or a piece of one that is too long to buffer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Chunk {
     /// A whole message.
--- a/src/proxy/local.rs
+++ b/src/proxy/local.rs
@@ -1,4 +1,5 @@
-//! Requests that the proxy answers itself: its own and carried parameters.
+//! Requests that the proxy answers itself: statements on its own parameters and
+//! on carried ones.
 
 use bytes::BytesMut;
 use pgwire::messages::{
@@ -23,11 +24,12 @@
     ResetAll,
 }
 
-/// Runs a request of the class `own` or `session`; the answer goes to `output`.
+/// Runs a request of the class `Own` or `Session` and writes the answer to
+/// `output`.
 ///
 /// # Errors
 ///
-/// Returns a refusal; nothing of the answer was written then.
+/// Returns a refusal; `output` is unchanged then.
 pub fn run(
     request: &Request,
     session: &mut Session,
@@ -83,7 +85,7 @@
     Ok(answer)
 }
 
-/// Name of the statement that a message is about, if it is about one.
+/// Name of the statement that a message refers to, if any.
 fn statement_name(frame: &Frame) -> Option<String> {
     match frame.tag() {
         tag::PARSE => message::read::<Parse>(frame)
@@ -140,7 +142,7 @@
 }
 
 fn parse(text: &str) -> Result<Statement, Refusal> {
-    let state = || {
+    let needs_state = || {
         let text = "this statement needs session state that is not carried between connections";
         Refusal::new(Code::SessionState, text)
     };
@@ -152,8 +154,8 @@
             name: rest.to_lowercase(),
         }),
         "RESET" | "DISCARD" if rest.eq_ignore_ascii_case("all") => Ok(Statement::ResetAll),
-        "SET" => parse_set(rest).ok_or_else(state),
-        _ => Err(state()),
+        "SET" => parse_set(rest).ok_or_else(needs_state),
+        _ => Err(needs_state()),
     }
 }
 
@@ -177,7 +179,7 @@
     })
 }
 
-/// Splits at semicolons outside quotes.
+/// Splits at semicolons outside single quotes.
 fn split(sql: &str) -> Vec<String> {
     let mut statements = vec![String::new()];
     let mut is_quoted = false;
--- a/src/proxy/message.rs
+++ b/src/proxy/message.rs
@@ -1,4 +1,4 @@
-//! Building and reading single messages with the codecs of `pgwire`.
+//! Encodes and decodes single messages with the codecs of `pgwire`.
 
 use bytes::{Buf, BufMut, BytesMut};
 use pgwire::messages::{
@@ -16,12 +16,12 @@
 };
 use crate::prelude::*;
 
-/// Type of text values.
+/// Type id of `text`.
 const TEXT_OID: u32 = 25;
 
 /// Writes a message to a buffer.
 pub fn put(buffer: &mut BytesMut, message: &impl Message) {
-    // The product's own messages are within the protocol's limits.
+    // The proxy's own messages are within the protocol's limits.
     if let Err(error) = message.encode(buffer) {
         log::error!(target: "proxy", "message not encoded: {error}");
     }
@@ -31,7 +31,7 @@
 ///
 /// # Errors
 ///
-/// Returns an error when the body does not follow the protocol.
+/// Returns an error when the body violates the protocol.
 pub fn read<M: Message>(frame: &Frame) -> Result<M> {
     let mut buffer = BytesMut::from(&frame.bytes[..]);
     let context = DecodeContext::default();
@@ -39,7 +39,7 @@
     message.ok_or_else(|| super::error::ProxyError::protocol("incomplete message"))
 }
 
-/// Writes a refusal with severity, SQLSTATE and number.
+/// Writes a refusal as an `ErrorResponse`.
 pub fn put_refusal(buffer: &mut BytesMut, severity: &str, refusal: &Refusal) {
     let code = refusal.code;
     let mut fields = vec![
@@ -112,13 +112,13 @@
     put(buffer, &ParameterDescription::new(Vec::new()));
 }
 
-/// Writes the description of one text column.
+/// Writes a `RowDescription` of one text column.
 pub fn put_text_column(buffer: &mut BytesMut, name: &str) {
     let field = FieldDescription::new(name.to_owned(), 0, 0, TEXT_OID, -1, -1, 0);
     put(buffer, &RowDescription::new(vec![field]));
 }
 
-/// Writes a row of one text value.
+/// Writes a `DataRow` of one text value.
 pub fn put_text_row(buffer: &mut BytesMut, value: &str) {
     let mut data = BytesMut::new();
     data.put_i32(value.len() as i32);
@@ -126,7 +126,7 @@
     put(buffer, &DataRow::new(data, 1));
 }
 
-/// SQLSTATE and text of an `ErrorResponse`.
+/// SQLSTATE and message of an `ErrorResponse`.
 pub fn error_fields(frame: &Frame) -> (String, String) {
     let mut state = String::new();
     let mut text = String::new();
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -1,4 +1,5 @@
-//! The path of a statement: callers, slots and connections to endpoints.
+//! PostgreSQL proxy: callers' sessions, slots, and connections to endpoints and
+//! other VMs.
 
 pub mod caller;
 pub mod cancel;
--- a/src/proxy/peer_pool.rs
+++ b/src/proxy/peer_pool.rs
@@ -1,4 +1,4 @@
-//! Connections to slots on other VMs, kept for reuse.
+//! Pool of connections to VMs that hold slots.
 
 use std::net::SocketAddr;
 
@@ -11,9 +11,9 @@
 };
 use crate::prelude::*;
 
-/// Most connections to one VM for one service.
+/// Maximum number of open connections to one VM for one service.
 const OPEN_MAX: usize = 256;
-/// Most idle connections kept to one VM for one service.
+/// Maximum number of idle connections to one VM for one service.
 const IDLE_MAX: usize = 32;
 
 /// Key of a group of connections: service and VM.
@@ -39,14 +39,14 @@
     open: usize,
 }
 
-/// Handle to the task that keeps the connections.
+/// Handle to the task that owns the pool.
 #[derive(Clone)]
 pub struct PeerPool {
     sender: flume::Sender<PeerPoolMessage>,
 }
 
 impl PeerPool {
-    /// Starts the task.
+    /// Starts the pool's task.
     pub fn start() -> PeerPool {
         let (sender, mailbox) = flume::unbounded();
         let handle = PeerPool { sender };
@@ -54,7 +54,8 @@
         handle
     }
 
-    /// Borrows a connection to the slot of `service` on `vm`.
+    /// Takes a connection to the slot of `service` on `vm` from the pool, or opens
+    /// one.
     ///
     /// # Errors
     ///
@@ -77,7 +78,7 @@
         answer.await.map_err(|_| gone())?
     }
 
-    /// Gives a connection back in a clean state.
+    /// Returns a connection that is in a clean state.
     pub fn release(&self, service: &Name, connection: Connection) {
         // A stopped task drops the connection.
         let _ = self.sender.send(PeerPoolMessage::Release {
@@ -132,7 +133,7 @@
 ) {
     while let Some(connection) = group.idle.pop() {
         if connection.address == address && connection.is_reusable() {
-            // The caller may have gone away.
+            // The caller may have disconnected.
             let _ = reply.send(Ok(connection));
             return;
         }
--- a/src/proxy/pending.rs
+++ b/src/proxy/pending.rs
@@ -1,23 +1,25 @@
-//! Answers that a connection still owes for an extended request.
+//! Responses that are still pending for a request of the extended protocol.
 
 use std::collections::VecDeque;
 
 use super::frame::from_endpoint;
 use crate::prelude::*;
 
-/// An answer that is pending or that the proxy gives itself.
+/// A response that the connection is to send or that the proxy gives itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PendingResponse {
     /// `ParseComplete` of a statement under this key.
     Parse {
-        /// Key on the connection; `None` for the unnamed statement.
+        /// Name on the connection; `None` for the unnamed statement.
         key: Option<Name>,
-        /// Whether the caller asked for it.
+        /// Whether the caller sent the `Parse`; otherwise the proxy did.
         is_requested: bool,
     },
-    /// `ParseComplete` that the proxy gives.
+    /// `ParseComplete` that the proxy gives, for a statement that the connection
+    /// has prepared already.
     OwnParse,
-    /// `CloseComplete` that the proxy gives.
+    /// `CloseComplete` that the proxy gives: the statement stays prepared on the
+    /// connection.
     OwnClose,
     /// `BindComplete`.
     Bind,
@@ -32,20 +34,20 @@
 /// What to do with a message from the endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Pass it on.
+    /// Send it to the caller.
     Forward,
-    /// The caller did not ask for it.
+    /// Drop it: the caller sent no message that it answers.
     Discard,
 }
 
-/// The answers in order.
+/// Pending responses in order.
 #[derive(Clone, Debug, Default)]
 pub struct PendingResponses {
     list: VecDeque<PendingResponse>,
 }
 
 impl PendingResponses {
-    /// Adds an answer.
+    /// Adds a response.
     pub fn push(&mut self, pending: PendingResponse) {
         self.list.push_back(pending);
     }
@@ -55,7 +57,7 @@
         self.list.is_empty()
     }
 
-    /// Takes an answer that the proxy gives itself and that is next.
+    /// Takes the next response if the proxy gives it itself.
     pub fn pop_own(&mut self) -> Option<PendingResponse> {
         match self.list.front() {
             Some(PendingResponse::OwnParse | PendingResponse::OwnClose) => self.list.pop_front(),
@@ -63,8 +65,8 @@
         }
     }
 
-    /// Matches a message with the next answer. Returns what to do with it and
-    /// the key of a statement that the connection knows from now on.
+    /// Matches a message with the next pending response. Returns what to do with
+    /// the message and the key of a statement that is now prepared.
     pub fn match_response(&mut self, tag: u8) -> (Action, Option<Name>) {
         let is_match = match self.list.front() {
             Some(PendingResponse::Parse { .. }) => tag == from_endpoint::PARSE_COMPLETE,
@@ -96,8 +98,8 @@
         }
     }
 
-    /// Forgets all: after an error the endpoint skips to the next `Sync`.
-    /// Returns the keys of the statements that it did not get to know.
+    /// Removes all: after an error the endpoint skips to the next `Sync`. Returns
+    /// the keys of the statements that it has not prepared.
     pub fn clear(&mut self) -> Vec<Name> {
         let keys = self.list.drain(..).filter_map(|pending| match pending {
             PendingResponse::Parse { key, .. } => key,
--- a/src/proxy/prepared.rs
+++ b/src/proxy/prepared.rs
@@ -1,4 +1,4 @@
-//! Prepared statements of a caller, independent of connections.
+//! Prepared statements of callers, independent of the connections they run on.
 
 use std::hash::Hasher;
 
@@ -6,21 +6,21 @@
 
 use crate::{decide::classify::Class, prelude::*};
 
-/// A statement that a caller prepared.
+/// A prepared statement of a caller.
 #[derive(Clone, Debug)]
 pub struct Prepared {
-    /// Its text.
+    /// Text.
     pub sql: Arc<str>,
-    /// Parameter types that the caller gave.
+    /// Parameter types that the caller specified.
     pub type_oids: Arc<[u32]>,
-    /// What it needs.
+    /// Class of the statement.
     pub class: Class,
-    /// Name under which connections know it.
+    /// Name on connections, derived from the text and the parameter types.
     pub key: Name,
 }
 
 impl Prepared {
-    /// Describes a statement.
+    /// Creates the description of a statement.
     pub fn new(sql: &str, type_oids: &[u32], class: Class) -> Prepared {
         let mut hasher = SipHasher13::new_with_keys(0x666f_7874_6169_6c6b, 0x6e6f_7400);
         hasher.write(sql.as_bytes());
--- a/src/proxy/request.rs
+++ b/src/proxy/request.rs
@@ -16,7 +16,7 @@
 };
 use crate::{decide::classify::Class, prelude::*};
 
-/// Kind of target of `Describe` and `Close` that names a statement.
+/// Target type of a `Describe` or `Close` of a statement.
 pub const STATEMENT: u8 = b'S';
 
 /// How a request ends.
@@ -26,24 +26,24 @@
     Query,
     /// With `Sync`.
     Sync,
-    /// With `Flush`: more of the same unit follows.
+    /// With `Flush`: more messages follow before the next `Sync`.
     Flush,
 }
 
 /// One request.
 #[derive(Debug)]
 pub struct Request {
-    /// Its messages.
+    /// Messages.
     pub frames: Vec<Frame>,
     /// How it ends.
     pub ending: Ending,
-    /// What it needs.
+    /// Class of its statements.
     pub class: Class,
     /// Whether anything is executed.
     pub is_executed: bool,
-    /// Text, of a simple query.
+    /// Text of a simple query.
     pub sql: Option<String>,
-    /// Reason to refuse it as a whole.
+    /// Refusal of the whole request.
     pub refusal: Option<Refusal>,
 }
 
@@ -67,7 +67,7 @@
 ///
 /// # Errors
 ///
-/// Returns an error when the connection ends, a message is bad or the request
+/// Returns an error when the connection ends, a message is invalid or the request
 /// is larger than `max_bytes`.
 pub async fn read_request(
     first: Frame,
@@ -194,20 +194,20 @@
     }
 
     fn finish(&mut self, ending: Ending) -> Request {
-        let read = std::mem::take(self);
-        let class = read.executed.or(read.described);
+        let reader = std::mem::take(self);
+        let class = reader.executed.or(reader.described);
         Request {
-            frames: read.frames,
+            frames: reader.frames,
             ending,
             class: class.unwrap_or(Class::Empty),
-            is_executed: read.executed.is_some(),
+            is_executed: reader.executed.is_some(),
             sql: None,
-            refusal: read.refusal,
+            refusal: reader.refusal,
         }
     }
 }
 
-/// Name of the statement that a `Describe` or `Close` names, if it names one.
+/// Name of the statement that a `Describe` or `Close` is for; `None` for a portal.
 pub fn named_statement(frame: &Frame) -> Result<Option<String>> {
     let close = read_close(frame)?;
     Ok((close.target_type == STATEMENT).then(|| close.name.unwrap_or_default()))
--- a/src/proxy/route_table.rs
+++ b/src/proxy/route_table.rs
@@ -1,4 +1,4 @@
-//! How this VM reaches each service, as the control task publishes it.
+//! Routes from this VM to each service, as the control task publishes them.
 
 use std::net::SocketAddr;
 
@@ -10,20 +10,20 @@
 pub struct Holder {
     /// Name of the VM.
     pub vm: Name,
-    /// Address for forwarded callers.
+    /// Address of its listener for forwarded requests.
     pub internal: SocketAddr,
-    /// Whether it stands in the zone of this VM.
+    /// Whether it is in the zone of this VM.
     pub is_near: bool,
 }
 
-/// How to reach one service.
+/// Route to one service.
 #[derive(Clone, Debug)]
 pub struct Route {
-    /// Settings.
+    /// Settings of the service.
     pub settings: Arc<ServiceSettings>,
-    /// Slot on this VM.
+    /// Slot on this VM, if it holds one.
     pub slot: Option<SlotHandle>,
-    /// Slots on other VMs, nearest first.
+    /// Other VMs that hold slots, nearest first.
     pub holders: Vec<Holder>,
 }
 
--- a/src/proxy/session.rs
+++ b/src/proxy/session.rs
@@ -1,4 +1,4 @@
-//! State of a caller that is carried between connections.
+//! State of a caller's session, carried from one endpoint connection to the next.
 
 use super::{error::Refusal, prepared::Prepared};
 use crate::{
@@ -7,20 +7,21 @@
     token,
 };
 
-/// Parameters that are carried between connections.
+/// Database parameters that are carried between connections.
 pub type Parameters = Arc<BTreeMap<String, String>>;
 
 /// Prefix of foxtailknot's own parameters.
 pub const OWN_PREFIX: &str = "foxtailknot.";
-/// Parameter that carries the session's position.
+/// Parameter that holds the session token.
 pub const TOKEN_PARAMETER: &str = "foxtailknot.session_token";
-/// Token of a session that may have written anywhere.
+/// Token of a session whose position is unknown: it may have written through any
+/// VM.
 pub const UNKNOWN_TOKEN: &str = "unknown";
 
 const MAX_AGE_PARAMETER: &str = "foxtailknot.max_age_ms";
 const IDEMPOTENT_PARAMETER: &str = "foxtailknot.idempotent";
 
-/// Parameters of the database that are set again on each connection.
+/// Database parameters that are set again on each connection.
 const CARRIED_PARAMETERS: &[&str] = &[
     "application_name",
     "bytea_output",
@@ -36,16 +37,16 @@
     "timezone",
 ];
 
-/// State of a caller.
+/// State of a caller's session.
 #[derive(Clone, Debug)]
 pub struct Session {
     /// Service that the caller uses.
     pub service: Name,
-    /// Position that its reads must see.
+    /// Minimum position that its reads must see.
     pub floor: Floor,
-    /// Oldest data it accepts, in milliseconds.
+    /// Largest age of data that it accepts, in milliseconds.
     pub max_age_ms: Option<u64>,
-    /// Whether its writes may be repeated.
+    /// Whether its writes may be repeated when their outcome is unknown.
     pub is_idempotent: bool,
     /// Parameters set on each connection it uses.
     pub parameters: Parameters,
@@ -58,7 +59,7 @@
 }
 
 impl Session {
-    /// Starts a session whose position is not known.
+    /// Creates a session whose position is unknown.
     pub fn new(service: Name) -> Session {
         Session {
             service,
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Records that the session has reached `position`; `true` if its token changes.
+    /// Raises the floor to `position`; returns `true` if the token changes.
     pub fn raise_floor(&mut self, position: Position) -> bool {
         let before = self.floor;
         match &mut self.floor {
@@ -94,7 +95,7 @@
     ///
     /// # Errors
     ///
-    /// Returns a refusal for an unknown name or a bad value.
+    /// Returns a refusal for an unknown name or an invalid value.
     pub fn set_own(&mut self, name: &str, value: &str) -> Result<(), Refusal> {
         let bad = || {
             Refusal::new(
@@ -137,7 +138,7 @@
         }
     }
 
-    /// Remembers a parameter of the database, if it is one that is carried.
+    /// Sets a database parameter; returns `false` if it is not a carried one.
     pub fn set_carried(&mut self, name: &str, value: &str) -> bool {
         let name = name.to_lowercase();
         if !CARRIED_PARAMETERS.contains(&name.as_str()) {
--- a/src/proxy/startup.rs
+++ b/src/proxy/startup.rs
@@ -1,4 +1,4 @@
-//! The start of a caller's connection.
+//! Startup phase of a caller's connection.
 
 use pgwire::messages::{
     DecodeContext, PgWireFrontendMessage, SslNegotiationMetaMessage,
@@ -14,26 +14,26 @@
 };
 use crate::prelude::*;
 
-/// Answer to a request for encryption that is not offered.
-const NOT_OFFERED: &[u8] = b"N";
-/// Largest first message, in bytes.
+/// Answer to a request for encryption, which is not offered.
+const ENCRYPTION_REFUSED: &[u8] = b"N";
+/// Largest accepted first message.
 const STARTUP_MAX_BYTES: usize = 10_000;
-/// Version that the proxy reports to callers.
+/// `server_version` reported to callers.
 const SERVER_VERSION: &str = "16.0 (foxtailknot)";
 
-/// What a new connection asks for.
+/// First request on a new connection.
 pub enum StartupRequest {
-    /// A session.
+    /// Start a session.
     Session(Startup),
-    /// The end of another connection's request.
+    /// Cancel the running request of another connection.
     Cancel(CancelRequest),
 }
 
-/// Reads up to the startup message.
+/// Reads up to the startup message or cancel request.
 ///
 /// # Errors
 ///
-/// Returns an error when the first bytes are not PostgreSQL's protocol.
+/// Returns an error when the input is not a valid start of the protocol.
 pub async fn read_startup(wire: &mut Wire) -> Result<StartupRequest> {
     let mut context = DecodeContext::default();
     loop {
@@ -43,7 +43,7 @@
                 context.awaiting_frontend_ssl = false;
             }
             Some(PgWireFrontendMessage::SslNegotiation(_)) => {
-                wire.push(NOT_OFFERED);
+                wire.push(ENCRYPTION_REFUSED);
                 wire.flush().await?;
             }
             Some(PgWireFrontendMessage::Startup(startup)) => {
@@ -70,11 +70,11 @@
     Ok(())
 }
 
-/// Makes a session from the startup parameters.
+/// Creates a session from the startup parameters.
 ///
 /// # Errors
 ///
-/// Returns a refusal for a missing or a bad parameter.
+/// Returns a refusal for a missing or invalid parameter.
 pub fn start_session(startup: &Startup) -> std::result::Result<Session, Refusal> {
     let refuse = |text: &str| Refusal::new(Code::StartupRefused, text);
     let parameters = &startup.parameters;
@@ -133,7 +133,7 @@
     Ok(())
 }
 
-/// Queues the messages that end the start.
+/// Queues the messages that complete the startup.
 pub fn put_startup_reply(wire: &mut Wire, session: &Session, key: (i32, i32)) {
     let output = wire.output();
     message::put(output, &Authentication::Ok);
--- a/src/proxy/status_query.rs
+++ b/src/proxy/status_query.rs
@@ -1,4 +1,4 @@
-//! Asks one member for its report, on a connection of its own.
+//! Queries a member's status report, on a connection of its own.
 
 use super::{
     connect::{ConnectOptions, connect},
@@ -13,24 +13,27 @@
     prelude::*,
 };
 
-/// Longest wait for a report.
+/// Longest wait for a report, including opening the connection.
 const STATUS_TIMEOUT: Duration = Duration::from_millis(700);
-/// Question for a report.
+/// Query for a report.
 const STATUS_SQL: &str = "SELECT dbgroup_status()";
 
-/// Answers each question that comes through `asks`; several at once get one answer.
+/// Queries a member's status on each request; requests that have queued up share
+/// one query.
 ///
-/// `tell` gets the observation, or `None` when the member did not answer.
+/// `report` is called with the time of the query and the observation, or `None`
+/// when the member did not answer.
 pub async fn poll(
     options: ConnectOptions,
-    asks: flume::Receiver<()>,
-    tell: impl Fn(u64, Option<Observation>),
+    requests: flume::Receiver<()>,
+    report: impl Fn(u64, Option<Observation>),
 ) {
     let mut connection = None;
-    while asks.recv_async().await.is_ok() {
-        asks.drain();
+    while requests.recv_async().await.is_ok() {
+        requests.drain();
         let asked_ms = clock::now_ms();
-        let status = compio::time::timeout(STATUS_TIMEOUT, ask(&mut connection, &options)).await;
+        let status =
+            compio::time::timeout(STATUS_TIMEOUT, request_status(&mut connection, &options)).await;
         let answered_ms = clock::now_ms();
         let observation = match status {
             Ok(Ok(status)) => Some(Observation {
@@ -43,11 +46,11 @@
                 None
             }
         };
-        tell(asked_ms, observation);
+        report(asked_ms, observation);
     }
 }
 
-async fn ask(
+async fn request_status(
     connection: &mut Option<Connection>,
     options: &ConnectOptions,
 ) -> Result<MemberStatus> {
@@ -61,11 +64,11 @@
     query_status(connection, STATUS_SQL).await
 }
 
-/// Term of the entry that the member holds at a position.
+/// Term of the log entry that the member holds at a position.
 ///
 /// # Errors
 ///
-/// Returns an error when the connection broke or the member refused.
+/// Returns an error when the connection fails or the member refuses.
 pub async fn term_at(connection: &mut Connection, lsn: Lsn) -> Result<Option<u64>> {
     let sql = format!("SELECT dbgroup_term_at('{lsn}')");
     let values = query(connection, &sql).await?;
@@ -73,16 +76,16 @@
     Ok(first.and_then(|term| term.parse().ok()))
 }
 
-/// Runs a group operation that returns a report.
+/// Runs an operation of the database group that returns a report.
 ///
 /// # Errors
 ///
-/// Returns an error when the connection broke or the member refused.
+/// Returns an error when the connection fails or the member refuses.
 pub async fn query_status(connection: &mut Connection, sql: &str) -> Result<MemberStatus> {
     parse(&query(connection, sql).await?)
 }
 
-/// Runs a query of one row.
+/// Runs a query that returns one row.
 async fn query(connection: &mut Connection, sql: &str) -> Result<Vec<Option<String>>> {
     message::put_query(connection.wire.output(), sql);
     connection.wire.flush().await?;
