--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -1,5 +1,5 @@
-//! Faults of proxies and of the platform under load: nothing acknowledged is
-//! lost, nothing is doubled, every session sees its own work.
+//! Faults of proxies and of the platform under load: no acknowledged write is
+//! lost or applied twice, and every session reads its own writes.
 
 mod common;
 
@@ -17,10 +17,10 @@
 };
 
 const TIMEOUT: Duration = Duration::from_secs(30);
-/// Bound for an endpoint or VM that is leaving to get no new work.
+/// Longest time until an endpoint or VM that is leaving gets no new work.
 const LEAVING_MAX: Duration = Duration::from_secs(5);
 
-/// A fault that strikes while sessions write and read.
+/// A fault that is injected while sessions write and read.
 #[derive(Clone, Copy)]
 enum Fault {
     None,
@@ -43,7 +43,7 @@
     }
 }
 
-/// Runs sessions through a fault; returns what they saw and the bench.
+/// Runs sessions during a fault; returns the log of what they saw, and the bench.
 fn run(fault: Fault, moves: bool, carry: Carry) -> (Log, Bench) {
     let settings = BenchSettings::builder().proxies(5).ship_lag_ms(10).build();
     let mut bench = Bench::start(settings);
@@ -52,20 +52,20 @@
     let _entered = runtime.enter();
     let addresses = bench.callers();
     let writers = Writers::start(&addresses, &bench.service(0), &plan(moves, carry));
-    wait_until("writes land", TIMEOUT, || writers.done() >= 100);
+    wait_until("100 writes are done", TIMEOUT, || writers.done() >= 100);
     let victim = bench.holders(0)[0];
-    strike(&mut bench, fault, victim);
+    inject(&mut bench, fault, victim);
     let done = writers.done();
-    wait_until("writes go on", TIMEOUT, || writers.done() >= done + 300);
+    wait_until("writes continue", TIMEOUT, || writers.done() >= done + 300);
     if let Fault::FreezeProxy = fault {
         bench.proxies[victim].process().unwrap().signal("CONT");
         let done = writers.done();
-        wait_until("writes go on", TIMEOUT, || writers.done() >= done + 100);
+        wait_until("writes continue", TIMEOUT, || writers.done() >= done + 100);
     }
     (runtime.block_on(writers.stop()), bench)
 }
 
-fn strike(bench: &mut Bench, fault: Fault, victim: usize) {
+fn inject(bench: &mut Bench, fault: Fault, victim: usize) {
     match fault {
         Fault::None => {}
         Fault::KillProxy => bench.proxies[victim].kill(),
@@ -87,10 +87,10 @@
     }
 }
 
-fn keeps_every_promise(fault: Fault, moves: bool, carry: Carry) {
+fn stays_consistent(fault: Fault, moves: bool, carry: Carry) {
     let (log, bench) = run(fault, moves, carry);
-    let leader = bench.primary(0).unwrap();
-    let violations = check(&log.history(stored(&bench, leader)));
+    let primary = bench.primary(0).unwrap();
+    let violations = check(&log.history(stored(&bench, primary)));
     assert_eq!(violations, Vec::<Violation>::new(), "{:?}", log.failures);
     let budget = bench.settings.connections as usize;
     for member in &bench.endpoints[0] {
@@ -100,7 +100,7 @@
 }
 
 common::cases! {
-    keeps_every_promise:
+    stays_consistent:
     sessions_that_stay(Fault::None, false, Carry::Token),
     sessions_that_move_with_a_token(Fault::None, true, Carry::Token),
     sessions_that_move_with_nothing(Fault::None, true, Carry::Nothing),
@@ -112,8 +112,8 @@
     replicas_far_behind(Fault::ReplicasBehind, true, Carry::Nothing),
 }
 
-/// A graceful stop cuts no request: no outcome is unknown, and the process
-/// ends well.
+/// A graceful stop interrupts no request: no outcome is unknown, and the process
+/// exits with status 0.
 #[test]
 fn a_graceful_stop_cuts_no_request() {
     let (log, mut bench) = run(Fault::StopProxy, false, Carry::Token);
@@ -123,14 +123,14 @@
         .filter(|label| label.starts_with("08") || label.starts_with("connection"));
     assert_eq!(unknown.count(), 0, "{:?}", log.failures);
     let proxies = &mut bench.proxies;
-    wait_until("the stopped proxy ends", TIMEOUT, || {
+    wait_until("the stopped proxy exits", TIMEOUT, || {
         let ended = proxies.iter_mut().filter_map(|p| p.process()?.ended());
         ended.collect::<Vec<_>>() == [0]
     });
 }
 
-/// Writes that reach a holder in the moment it stops are not run there: they
-/// are run elsewhere, and no outcome is unknown.
+/// Writes that reach a slot holder while it stops are not run there but by
+/// another VM, and no outcome is unknown.
 #[test]
 fn requests_that_meet_a_stop_are_run_elsewhere() {
     const SESSIONS: usize = 24;
@@ -168,7 +168,7 @@
             })
         });
     let writes: Vec<_> = writes.collect();
-    wait_until("all writes are on their way", TIMEOUT, || {
+    wait_until("all writes are sent", TIMEOUT, || {
         sent() >= before + SESSIONS as f64
     });
     signal(victim_id, "TERM");
@@ -180,8 +180,8 @@
     assert_eq!(stored.len(), 2 * SESSIONS);
 }
 
-/// A VM that the platform lists as leaving gets no new slots, and its slots go
-/// to others within the bound.
+/// A VM that the platform lists as leaving gets no new slots, and other VMs take
+/// over its slots within the bound.
 #[test]
 fn a_leaving_vm_hands_its_slots_over() {
     let settings = BenchSettings::builder().proxies(5).build();
@@ -190,7 +190,7 @@
     bench.proxies[victim].leaving = true;
     bench.list_vms();
     let mut holders = Vec::new();
-    wait_until("its slot is handed over", LEAVING_MAX, || {
+    wait_until("the slot is handed over", LEAVING_MAX, || {
         holders = bench.holders(0);
         holders.len() == 3 && !holders.contains(&victim)
     });
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -1,5 +1,5 @@
-//! The path of a statement through separate processes, with a driver that is
-//! not ours.
+//! Statements through proxies in separate processes, with an independent
+//! PostgreSQL driver.
 
 use std::{
     io::{Read, Write},
@@ -12,7 +12,7 @@
 
 /// Longest wait for a condition.
 const TIMEOUT: Duration = Duration::from_secs(10);
-/// Time by which replicas apply late where that must not matter, in milliseconds.
+/// Replay lag of replicas where a result must not depend on it.
 const REPLAY_LAG_MS: u64 = 100;
 const TABLE: &str = "CREATE TABLE shades (id INTEGER PRIMARY KEY, name TEXT)";
 const SHOW_TOKEN: &str = "SHOW foxtailknot.session_token";
@@ -37,7 +37,7 @@
 }
 
 fn code(error: &postgres::Error) -> String {
-    let db = error.as_db_error().expect("the proxy says why");
+    let db = error.as_db_error().expect("a database error");
     let number = db.message().split(':').next().unwrap_or_default();
     format!("{} {number}", db.code().code())
 }
@@ -121,7 +121,7 @@
         .batch_execute("INSERT INTO shades (id, name) VALUES (2, 'umber')")
         .unwrap();
     transaction.commit().unwrap();
-    // Another session may not see the commit yet, but never a part of it.
+    // Another session may not see the commit yet, but it never sees only a part.
     wait_until("another session sees both rows", TIMEOUT, || {
         let seen = first_value(&mut other, count);
         assert!(matches!(seen.as_deref(), Some("0" | "2")), "{seen:?}");
@@ -190,7 +190,7 @@
     let (bench, service) = start();
     for proxy in &bench.proxies {
         let mut client = proxy.connect(&service).unwrap();
-        // A row of 3 MB is longer than the proxy holds.
+        // The proxy does not buffer a row of 3 MB whole.
         let sql = "SELECT hex(zeroblob(1500000))";
         let value = first_value(&mut client, sql).unwrap();
         assert_eq!(value.len(), 3_000_000);
@@ -218,7 +218,8 @@
         stream.write_all(input).unwrap();
         open.push(stream);
     }
-    // A bad length is refused with a number; the others wait for more.
+    // An invalid length is refused with an error code; an incomplete message is
+    // waited for.
     let mut answer = vec![0; 200];
     open[1]
         .set_read_timeout(Some(Duration::from_secs(5)))
@@ -259,13 +260,13 @@
         assert!(peak <= budget, "{peak} connections of {budget}");
     }
     let mut client = bench.proxies[0].connect(&service).unwrap();
-    wait_until("every write is read", Duration::from_secs(5), || {
+    wait_until("all writes are visible", Duration::from_secs(5), || {
         first_value(&mut client, "SELECT count(*) FROM shades").as_deref() == Some("1200")
     });
 }
 
-/// Callers that leave in the middle of an answer, and answers that come late,
-/// never give anybody a piece of another's answer.
+/// Guards against answers that reach the wrong caller. They could when a caller
+/// disconnects in the middle of an answer or an answer comes late.
 #[test]
 fn late_and_abandoned_answers_reach_nobody_else() {
     let (bench, service) = start();
@@ -293,7 +294,7 @@
     }
 }
 
-/// Asks for a long answer and leaves before it has come.
+/// Sends a query with a long answer and disconnects before it has arrived.
 fn abandon(address: SocketAddr, service: &str) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -308,15 +309,15 @@
         let (client, connection) = config.connect(NoTls).await.unwrap();
         let connection = tokio::spawn(connection);
         let long = "SELECT hex(zeroblob(3000000))";
-        let asked = client.simple_query(long);
-        // Whether the answer was on its way or not, the caller is gone.
-        let _ = tokio::time::timeout(Duration::from_millis(2), asked).await;
+        let answer = client.simple_query(long);
+        // Disconnect whether or not the answer has begun to arrive.
+        let _ = tokio::time::timeout(Duration::from_millis(2), answer).await;
         connection.abort();
     });
 }
 
-/// Neither a replica nor a primary that is marked as leaving gets work after
-/// the stated time; the primary is replaced.
+/// A replica or primary that is marked as leaving gets no more statements after
+/// the stated time of 5 s, and the primary is replaced.
 #[test]
 fn a_member_that_leaves_gets_no_new_work() {
     let (bench, service) = start();
@@ -346,11 +347,15 @@
                 client.simple_query("SELECT count(*) FROM shades").unwrap();
             }
         };
-        wait_until("it gets no new work", Duration::from_secs(5), || {
-            let before = statements();
-            (0..5).for_each(|_| work());
-            statements() == before
-        });
+        wait_until(
+            "the member gets no statements",
+            Duration::from_secs(5),
+            || {
+                let before = statements();
+                (0..5).for_each(|_| work());
+                statements() == before
+            },
+        );
     }
     assert_ne!(bench.primary(0), Some(0));
 }
