--- a/src/proxy/caller.rs
+++ b/src/proxy/caller.rs
@@ -20,7 +20,7 @@
     request::{Ending, Request, read_request},
     route_table::Route,
     session::{Session, TOKEN_PARAMETER},
-    slot::{Access, SlotHandle},
+    slot::{Purpose, SlotHandle},
     startup::{self, StartupRequest},
     wire::Wire,
 };
@@ -295,7 +295,7 @@
     let unknown = |text: &str| Refusal::new(Code::CommitUnconfirmed, text);
     let deadline_ms = clock::now_ms() + COMMIT_RESOLUTION_TIMEOUT_MS;
     let floor = Floor::Unknown;
-    let granted = slot.acquire(Access::Begin { floor }, deadline_ms).await;
+    let granted = slot.acquire(Purpose::Begin { floor }, deadline_ms).await;
     let mut granted = granted.map_err(|_| unknown("no primary tells what became of the commit"))?;
     let (Some(barrier), ConnectionTarget::Member { member, term }) =
         (granted.floor, granted.connection.target.clone())
--- a/src/proxy/caller/attempt.rs
+++ b/src/proxy/caller/attempt.rs
@@ -48,8 +48,8 @@
     ) -> Result<Attempt> {
         let is_pinned = self.borrowed.is_some();
         if !is_pinned {
-            let access = self.access(request, must_write);
-            match self.acquire(access, deadline_ms, must_write).await {
+            let purpose = self.purpose(request, must_write);
+            match self.acquire(purpose, deadline_ms, must_write).await {
                 Ok(borrowed) => self.borrowed = Some(borrowed),
                 Err(refusal) if matches!(refusal.code, Code::NoSlot | Code::Stopping) => {
                     return Ok(Attempt::Retry(refusal));
@@ -63,22 +63,22 @@
         self.exchange(request, is_pinned).await
     }
 
-    pub(super) fn access(&self, request: &Request, must_write: bool) -> Access {
+    pub(super) fn purpose(&self, request: &Request, must_write: bool) -> Purpose {
         let floor = self.session.floor;
         match request.class {
-            _ if must_write => Access::Write,
-            Class::Empty | Class::Read | Class::BeginReadOnly => Access::Read {
+            _ if must_write => Purpose::Write,
+            Class::Empty | Class::Read | Class::BeginReadOnly => Purpose::Read {
                 floor,
                 max_age_ms: self.session.max_age_ms,
             },
-            Class::Begin => Access::Begin { floor },
-            _ => Access::Write,
+            Class::Begin => Purpose::Begin { floor },
+            _ => Purpose::Write,
         }
     }
 
     pub(super) async fn acquire(
         &mut self,
-        access: Access,
+        purpose: Purpose,
         deadline_ms: u64,
         is_stale: bool,
     ) -> std::result::Result<BorrowedConnection, Refusal> {
@@ -87,7 +87,7 @@
             .find_route(&self.session.service, is_stale)
             .await?;
         if let Some(slot) = route.slot.clone() {
-            let granted = slot.acquire(access, deadline_ms).await?;
+            let granted = slot.acquire(purpose, deadline_ms).await?;
             if let Some(position) = granted.floor {
                 self.session.raise_floor(position);
             }
--- a/src/proxy/slot/handle.rs
+++ b/src/proxy/slot/handle.rs
@@ -2,7 +2,7 @@
 
 use futures::channel::oneshot;
 
-use super::{Access, Acquire, Granted, SlotMessage, SlotReport};
+use super::{Acquire, Granted, Purpose, SlotMessage, SlotReport};
 use crate::{
     decide::acknowledge::{Commit, Decision},
     prelude::*,
@@ -33,10 +33,10 @@
     /// # Errors
     ///
     /// Returns a refusal when none is granted before the deadline.
-    pub async fn acquire(&self, access: Access, deadline_ms: u64) -> Result<Granted, Refusal> {
+    pub async fn acquire(&self, purpose: Purpose, deadline_ms: u64) -> Result<Granted, Refusal> {
         let (reply, answer) = oneshot::channel();
         self.send(SlotMessage::Acquire(Acquire {
-            access,
+            purpose,
             deadline_ms,
             reply,
         }));
--- a/src/proxy/slot/message.rs
+++ b/src/proxy/slot/message.rs
@@ -13,9 +13,9 @@
     settings::ServiceSettings,
 };
 
-/// Kind of access that a request needs.
+/// What a request needs a connection for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Access {
+pub enum Purpose {
     /// To read at `floor` or later.
     Read {
         /// Minimum position that the session must see.
@@ -34,8 +34,8 @@
 
 /// A request for a connection.
 pub struct Acquire {
-    /// Kind of access.
-    pub access: Access,
+    /// What the connection is for.
+    pub purpose: Purpose,
     /// Latest time to grant it, in milliseconds.
     pub deadline_ms: u64,
     /// Answer.
--- a/src/proxy/slot/mod.rs
+++ b/src/proxy/slot/mod.rs
@@ -6,5 +6,5 @@
 mod task;
 
 pub use handle::SlotHandle;
-pub use message::{Access, Acquire, Granted, SlotMessage, SlotReport};
+pub use message::{Acquire, Granted, Purpose, SlotMessage, SlotReport};
 pub use task::{SlotContext, run};
--- a/src/proxy/slot/task.rs
+++ b/src/proxy/slot/task.rs
@@ -8,7 +8,7 @@
 use futures::channel::oneshot;
 
 use super::{
-    Access, Acquire, Granted, SlotHandle, SlotMessage, SlotReport,
+    Acquire, Granted, Purpose, SlotHandle, SlotMessage, SlotReport,
     member::{QueuedRead, SlotMember},
 };
 use crate::{
--- a/src/proxy/slot/task/connections.rs
+++ b/src/proxy/slot/task/connections.rs
@@ -93,8 +93,8 @@
     }
 
     pub(super) fn grant_write(&mut self, index: usize, connection: Connection, acquire: Acquire) {
-        let floor = match acquire.access {
-            Access::Begin {
+        let floor = match acquire.purpose {
+            Purpose::Begin {
                 floor: Floor::Known(position),
             } => Some(position),
             _ => None,
--- a/src/proxy/slot/task/reads.rs
+++ b/src/proxy/slot/task/reads.rs
@@ -5,13 +5,13 @@
 impl Slot {
     pub(super) fn acquire(&mut self, acquire: Acquire) {
         let now_ms = clock::now_ms();
-        let (floor, max_age_ms) = match acquire.access {
-            Access::Write => return self.queue_write(acquire),
-            Access::Begin {
+        let (floor, max_age_ms) = match acquire.purpose {
+            Purpose::Write => return self.queue_write(acquire),
+            Purpose::Begin {
                 floor: Floor::Known(_),
             } => return self.queue_write(acquire),
-            Access::Begin { floor } => (floor, None),
-            Access::Read { floor, max_age_ms } => (floor, max_age_ms),
+            Purpose::Begin { floor } => (floor, None),
+            Purpose::Read { floor, max_age_ms } => (floor, max_age_ms),
         };
         let wait_ms = self.context.settings.replica_wait_ms;
         let unrouted = UnroutedRequest {
@@ -53,8 +53,8 @@
         };
         let floor = Floor::Known(position);
         unrouted.request.floor = floor;
-        if let Access::Begin { .. } = unrouted.acquire.access {
-            unrouted.acquire.access = Access::Begin { floor };
+        if let Purpose::Begin { .. } = unrouted.acquire.purpose {
+            unrouted.acquire.purpose = Purpose::Begin { floor };
             self.queue_write(unrouted.acquire);
             return;
         }
@@ -101,7 +101,7 @@
                 continue;
             }
             for queued in self.members[index].reads.drain() {
-                let Access::Read { max_age_ms, .. } = queued.acquire.access else {
+                let Purpose::Read { max_age_ms, .. } = queued.acquire.purpose else {
                     continue;
                 };
                 let floor = queued.floor.map_or(Floor::Unknown, Floor::Known);
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -347,15 +347,11 @@
                 client.simple_query("SELECT count(*) FROM shades").unwrap();
             }
         };
-        wait_until(
-            "the member gets no statements",
-            Duration::from_secs(5),
-            || {
-                let before = statements();
-                (0..5).for_each(|_| work());
-                statements() == before
-            },
-        );
+        wait_until("it gets no statements", Duration::from_secs(5), || {
+            let before = statements();
+            (0..5).for_each(|_| work());
+            statements() == before
+        });
     }
     assert_ne!(bench.primary(0), Some(0));
 }
