--- a/src/proxy/pending.rs
+++ b/src/proxy/pending.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use super::frame::from_endpoint;
+use super::frame::from_endpoint as tag;
 use crate::prelude::*;
 
 /// A response that the connection is to send or that the proxy gives itself.
@@ -67,20 +67,17 @@
 
     /// Matches a message with the next pending response. Returns what to do with
     /// the message and the key of a statement that is now prepared.
-    pub fn match_response(&mut self, tag: u8) -> (Action, Option<Name>) {
+    pub fn match_response(&mut self, message_tag: u8) -> (Action, Option<Name>) {
         let is_match = match self.list.front() {
-            Some(PendingResponse::Parse { .. }) => tag == from_endpoint::PARSE_COMPLETE,
-            Some(PendingResponse::Bind) => tag == from_endpoint::BIND_COMPLETE,
+            Some(PendingResponse::Parse { .. }) => message_tag == tag::PARSE_COMPLETE,
+            Some(PendingResponse::Bind) => message_tag == tag::BIND_COMPLETE,
             Some(PendingResponse::Describe) => {
-                matches!(tag, from_endpoint::ROW_DESCRIPTION | from_endpoint::NO_DATA)
+                matches!(message_tag, tag::ROW_DESCRIPTION | tag::NO_DATA)
             }
             Some(PendingResponse::Execute) => {
-                matches!(
-                    tag,
-                    from_endpoint::COMPLETE | from_endpoint::SUSPENDED | from_endpoint::EMPTY
-                )
+                matches!(message_tag, tag::COMPLETE | tag::SUSPENDED | tag::EMPTY)
             }
-            Some(PendingResponse::Close) => tag == from_endpoint::CLOSE_COMPLETE,
+            Some(PendingResponse::Close) => message_tag == tag::CLOSE_COMPLETE,
             _ => false,
         };
         if !is_match {
