--- a/src/proxy/exchange.rs
+++ b/src/proxy/exchange.rs
@@ -1,8 +1,7 @@
-//! One request on one connection, and what comes back.
+//! One request on one connection, and its answer.
 //!
-//! The exchange knows how many answers the connection still owes. The end of
-//! the answer to a write is held back until the caller of this module knows
-//! whether it may be acknowledged.
+//! The exchange tracks which responses are still pending. The end of the answer
+//! is held back, so that a commit is not acknowledged before it is confirmed.
 
 mod answer;
 mod queue;
@@ -22,7 +21,7 @@
     error::{ProxyError, Result},
     frame::{Chunk, Frame, from_caller, from_endpoint as tag},
     message,
-    owed::{Owed, OwedList, Verdict},
+    pending::{Action, PendingResponse, PendingResponses},
     prepared::Prepared,
     request::{self, Ending, Request},
     session::{Session, TOKEN_PARAMETER},
@@ -30,51 +29,51 @@
 };
 use crate::prelude::*;
 
-/// Time without an answer after which the member's health is asked.
-const STALL: Duration = Duration::from_millis(500);
-/// Requests larger than this are written beside reading the answer.
-const WRITE_BESIDE_BYTES: usize = 64 << 10;
-/// Question for the position after a commit.
+/// Time without data from the other side after which its health is checked.
+const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// Requests larger than this are written while the answer is read.
+const CONCURRENT_WRITE_MIN_BYTES: usize = 64 << 10;
+/// Query for the position after a commit.
 const POSITION_SQL: &str = "SELECT pg_current_wal_lsn()";
-/// SQLSTATE of a write that a replica refused.
+/// SQLSTATE of a write that a replica refused, `read_only_sql_transaction`.
 const READ_ONLY_STATE: &str = "25006";
 
-/// Status of a connection outside a transaction.
-pub const IDLE: u8 = b'I';
+/// Transaction status outside a transaction.
+pub const IDLE_STATUS: u8 = b'I';
 
 /// How a request ended on the connection.
 #[derive(Debug, Default)]
 pub struct Answer {
-    /// Transaction status: `I`, `T` or `E`; zero after `Flush`.
+    /// Transaction status `I`, `T` or `E`; zero after `Flush`.
     pub status: u8,
-    /// Position after the request, if it was asked for.
+    /// Position after the request, if it was requested.
     pub lsn: Option<Lsn>,
     /// SQLSTATE of an error.
     pub error_state: Option<String>,
     /// Whether the last command was a rollback.
     pub is_rollback: bool,
-    /// End of the answer, to be passed on or replaced.
-    pub held: BytesMut,
-    /// Whether part of the answer has left this VM.
-    pub is_passed: bool,
-    /// Length of the caller's output before anything of the answer was queued.
-    pub queued_from: usize,
+    /// End of the answer, to be sent or replaced by a refusal.
+    pub held_back: BytesMut,
+    /// Whether part of the answer has been sent to the caller.
+    pub is_partly_sent: bool,
+    /// Length of the caller's output buffer before any of the answer was queued.
+    pub output_start: usize,
 }
 
 impl Answer {
-    /// Whether the endpoint proved that a write was not run.
+    /// Whether the endpoint refused a write, which proves that it was not run.
     pub fn is_refused_as_write(&self) -> bool {
         self.error_state.as_deref() == Some(READ_ONLY_STATE)
     }
 }
 
-/// Why an exchange broke off.
+/// Why an exchange failed.
 #[derive(Debug)]
 pub enum ExchangeError {
-    /// The connection to the endpoint; the flag tells whether part of the
-    /// answer has left this VM.
+    /// The connection to the endpoint or VM failed; the flag tells whether part of
+    /// the answer has been sent to the caller.
     Connection(ProxyError, bool),
-    /// The connection to the caller.
+    /// The connection to the caller failed.
     Caller(ProxyError),
 }
 
@@ -90,10 +89,10 @@
     connection: &'a mut Connection,
     caller: &'a mut Wire,
     session: &'a mut Session,
-    owed: OwedList,
+    pending: PendingResponses,
     stage: Stage,
     asks_position: bool,
-    mark: usize,
+    answer_start: usize,
     answer: Answer,
 }
 
@@ -104,27 +103,27 @@
         caller: &'a mut Wire,
         session: &'a mut Session,
     ) -> Exchange<'a> {
-        let mark = caller.output().len();
+        let answer_start = caller.output().len();
         Exchange {
             connection,
             caller,
             session,
-            owed: OwedList::default(),
+            pending: PendingResponses::default(),
             stage: Stage::Main,
             asks_position: false,
-            mark,
+            answer_start,
             answer: Answer::default(),
         }
     }
 
-    /// Sends the request and passes its answer on, except for its end.
+    /// Sends the request and forwards its answer, except for the end.
     ///
-    /// `is_dead` is asked whenever no answer came for a while; when it says
-    /// so the exchange breaks off.
+    /// `is_dead` is called whenever no data has arrived for
+    /// `STALL_CHECK_INTERVAL`; the exchange fails when it returns `true`.
     ///
     /// # Errors
     ///
-    /// Returns which connection broke.
+    /// Returns which connection failed.
     pub async fn run(
         mut self,
         request: &Request,
@@ -139,16 +138,16 @@
             message::put_query(self.connection.wire.output(), POSITION_SQL);
         }
         if let Err(error) = self.send().await {
-            return Err(self.broken(error));
+            return Err(self.fail(error));
         }
         self.receive(request.ending, &is_dead).await
     }
 
-    /// Asks for the position after a request that did not ask along with it.
+    /// Queries the position after a request that was sent without that query.
     ///
     /// # Errors
     ///
-    /// Returns an error when the connection broke.
+    /// Returns an error when the connection fails.
     pub async fn position(connection: &mut Connection) -> Result<Option<Lsn>> {
         message::put_query(connection.wire.output(), POSITION_SQL);
         connection.wire.flush().await?;
@@ -168,44 +167,45 @@
         ending: Ending,
         is_dead: &impl AsyncFn() -> bool,
     ) -> std::result::Result<Answer, ExchangeError> {
-        self.settle_own();
+        self.push_own_responses();
         while !self.is_done(ending) {
             let chunk = match next_chunk(&mut self.connection.wire, is_dead).await {
                 Ok(chunk) => chunk,
-                Err(error) => return Err(self.broken(error)),
+                Err(error) => return Err(self.fail(error)),
             };
-            let taken = match chunk {
-                Chunk::Frame(frame) => self.take(&frame),
-                Chunk::Part(bytes) => self.take_part(&bytes),
+            let handled = match chunk {
+                Chunk::Frame(frame) => self.handle_frame(&frame),
+                Chunk::Part(bytes) => self.handle_part(&bytes),
             };
-            if let Err(error) = taken {
-                return Err(self.broken(error));
+            if let Err(error) = handled {
+                return Err(self.fail(error));
             }
             if self.caller.is_full() {
-                self.answer.is_passed = true;
+                self.answer.is_partly_sent = true;
                 self.caller.flush().await.map_err(ExchangeError::Caller)?;
-                self.mark = 0;
+                self.answer_start = 0;
             }
         }
-        self.answer.queued_from = self.mark;
+        self.answer.output_start = self.answer_start;
         Ok(self.answer)
     }
 
     fn is_done(&self, ending: Ending) -> bool {
         if ending == Ending::Flush {
-            let is_over = self.owed.is_empty() || self.answer.error_state.is_some();
+            let is_over = self.pending.is_empty() || self.answer.error_state.is_some();
             return self.stage == Stage::Main && is_over;
         }
         let has_status = self.answer.status != 0;
         has_status && self.stage != Stage::Position
     }
 
-    /// Forgets what was queued for the caller, if none of it has left.
-    fn broken(self, error: ProxyError) -> ExchangeError {
-        if !self.answer.is_passed {
-            self.caller.output().truncate(self.mark);
+    /// Ends the exchange with an error. Discards what is queued for the caller, if
+    /// none of it has been sent.
+    fn fail(self, error: ProxyError) -> ExchangeError {
+        if !self.answer.is_partly_sent {
+            self.caller.output().truncate(self.answer_start);
         }
-        ExchangeError::Connection(error, self.answer.is_passed)
+        ExchangeError::Connection(error, self.answer.is_partly_sent)
     }
 }
 
@@ -216,7 +216,7 @@
         }
         let mut fill = pin!(wire.fill());
         loop {
-            let stall = pin!(compio::time::sleep(STALL));
+            let stall = pin!(compio::time::sleep(STALL_CHECK_INTERVAL));
             match select(fill.as_mut(), stall).await {
                 Either::Left((result, _)) => {
                     result?;
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -1,4 +1,5 @@
-//! The path of a statement: callers, slots and connections to endpoints.
+//! PostgreSQL proxy: callers' sessions, slots, and connections to endpoints and
+//! other VMs.
 
 pub mod caller;
 pub mod cancel;
@@ -12,8 +13,8 @@
 pub mod listener;
 pub mod local;
 pub mod message;
-pub mod owed;
 pub mod peer_pool;
+pub mod pending;
 pub mod prepared;
 pub mod request;
 pub mod route_table;
