--- a/src/control/admin.rs
+++ b/src/control/admin.rs
@@ -6,14 +6,14 @@
 
 use crate::metrics::Metrics;
 
-/// What the admin listener reports on.
+/// State that the admin listener reports.
 #[derive(Clone)]
 pub struct AdminState {
-    /// Metrics.
+    /// Metrics to export.
     pub metrics: Metrics,
     /// Set once a configuration is in force.
     pub ready: watch::Receiver<bool>,
-    /// Set once the VM is stopping.
+    /// Set once the VM is draining.
     pub draining: watch::Receiver<bool>,
 }
 
--- a/src/control/apply.rs
+++ b/src/control/apply.rs
@@ -1,39 +1,40 @@
-//! Accepting a configuration: a conditional write of the head row.
+//! Applying a configuration: its objects are written to the object store, then
+//! a conditional write of the head row makes it the version in force.
 
 use super::{ids, keys};
 use crate::{
     decide::rollout::{ChangeRef, Head, Plan, SiteChange},
     prelude::*,
     settings::SiteSettings,
-    store::{Row, StoreClient, StoreError, Written},
+    store::{Row, StoreClient, StoreError, WriteOutcome},
 };
 
 /// Why a configuration was not accepted.
 #[derive(Debug, derive_more::Display, derive_more::Error)]
 pub enum ApplyError {
-    /// The platform failed.
+    /// A call to the platform failed.
     #[display("{source}")]
     Platform {
-        /// How.
+        /// Error of the call.
         source: StoreError,
     },
-    /// Somebody else was first.
+    /// Another change was accepted since the configuration was read.
     #[display(
         "version {version} was accepted meanwhile, by change {change_id}; compare and try again"
     )]
     Conflict {
         /// The version in force.
         version: u64,
-        /// The change that made it.
+        /// Change that created that version.
         change_id: Name,
     },
-    /// An object is missing or can't be read.
+    /// An object of the configuration is missing or can't be decoded.
     #[display("configuration version {version} can't be read from the object store")]
-    Broken {
-        /// The version.
+    Unreadable {
+        /// Version the object belongs to.
         version: u64,
     },
-    /// Nothing to do.
+    /// The configuration is the same as the one in force.
     #[display("version {version} already says the same")]
     Unchanged {
         /// The version in force.
@@ -56,27 +57,27 @@
         match self {
             ApplyError::Platform { source } => source.code(),
             ApplyError::Conflict { .. } => Code::ConfigurationConflict,
-            ApplyError::Broken { .. } => Code::ConfigurationUnknown,
+            ApplyError::Unreadable { .. } => Code::ConfigurationUnknown,
             ApplyError::Unchanged { .. } => Code::ConfigurationConflict,
         }
     }
 }
 
-/// The configuration in force, with its row.
+/// The configuration in force, with the head row that names it.
 pub struct InForce {
-    /// Version of the row; zero if there is none.
+    /// Version of the head row; zero if there is no row.
     pub row_version: u64,
-    /// The head.
+    /// The head; `None` before the first configuration.
     pub head: Option<Head>,
     /// The configuration.
     pub site: SiteSettings,
 }
 
-/// What an accepted change made.
+/// An accepted change.
 pub struct Accepted {
-    /// The head.
+    /// Head after the change.
     pub head: Head,
-    /// What it changed.
+    /// The change.
     pub change: SiteChange,
     /// Id of the change.
     pub change_id: Name,
@@ -104,36 +105,38 @@
     })
 }
 
-/// Reads the configuration that a head names.
+/// Reads the configuration that a head names: its snapshot and the changes
+/// after it.
 ///
 /// # Errors
 ///
 /// Returns an error when the platform does not answer or an object is missing.
 pub async fn read_site(platform: &StoreClient, head: &Head) -> Result<SiteSettings> {
-    let broken = || ApplyError::Broken {
+    let unreadable = || ApplyError::Unreadable {
         version: head.version,
     };
     let Plan::Snapshot(snapshot, changes) = head.plan(None) else {
-        return Err(broken());
+        return Err(unreadable());
     };
     let body = platform.read_object(&snapshot.digest).await?;
-    let body = body.ok_or_else(broken)?;
-    let mut site: SiteSettings = serde_json::from_slice(&body).map_err(|_| broken())?;
+    let body = body.ok_or_else(unreadable)?;
+    let mut site: SiteSettings = serde_json::from_slice(&body).map_err(|_| unreadable())?;
     for change in changes {
         let body = platform.read_object(&change.digest).await?;
-        let body = body.ok_or_else(broken)?;
-        let change: SiteChange = serde_json::from_slice(&body).map_err(|_| broken())?;
+        let body = body.ok_or_else(unreadable)?;
+        let change: SiteChange = serde_json::from_slice(&body).map_err(|_| unreadable())?;
         change.apply(&mut site);
     }
     Ok(site)
 }
 
-/// Puts `site` in the place of the configuration that was read.
+/// Replaces the configuration that was read with `site`.
 ///
 /// # Errors
 ///
-/// Returns a conflict when somebody else was first, and an unknown outcome
-/// only when the change id can't be found in the row either.
+/// Returns a conflict when another change was accepted first, and an unknown
+/// outcome when the answer to the write was lost and re-reading the head row
+/// does not show whether it took effect.
 pub async fn apply(
     platform: &StoreClient,
     in_force: &InForce,
@@ -154,12 +157,12 @@
         true => Some(write_object(platform, site).await?),
         false => None,
     };
-    let made = ChangeRef {
+    let change_ref = ChangeRef {
         version,
         digest,
         change_id: change_id.clone(),
     };
-    let head = Head::next(previous, made, snapshot);
+    let head = Head::next(previous, change_ref, snapshot);
     let written = platform
         .write(keys::CONFIG_HEAD, in_force.row_version, &head, &change_id)
         .await;
@@ -169,9 +172,9 @@
         change_id,
     };
     match written {
-        Ok(Written::Done(_)) => Ok(accepted),
-        Ok(Written::Conflict(row)) => Err(conflict(row)),
-        Err(error) => find_out(platform, accepted, error).await,
+        Ok(WriteOutcome::Done(_)) => Ok(accepted),
+        Ok(WriteOutcome::Conflict(row)) => Err(conflict(row)),
+        Err(error) => resolve_lost_answer(platform, accepted, error).await,
     }
 }
 
@@ -191,8 +194,9 @@
     }
 }
 
-/// The answer was lost: later heads still name the change if it was made.
-async fn find_out(
+/// Finds out whether a write whose answer was lost took effect: the head, and
+/// heads written after it, list the ids of the latest changes.
+async fn resolve_lost_answer(
     platform: &StoreClient,
     accepted: Accepted,
     error: StoreError,
--- a/src/control/daemon.rs
+++ b/src/control/daemon.rs
@@ -29,11 +29,11 @@
     store::StoreClient,
 };
 
-/// Interval of looks at whether all callers have left.
-const DRAIN_POLL: Duration = Duration::from_millis(50);
-/// Time that slots keep serving after the last caller left, for requests that
-/// other VMs are about to send.
-const LINGER: Duration = Duration::from_millis(500);
+/// Interval at which a draining VM checks whether all callers have left.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Shortest time that slots keep serving after the drain began, for requests
+/// that other VMs are still sending here.
+const SLOT_LINGER: Duration = Duration::from_millis(500);
 
 /// Error that keeps a daemon from running.
 #[derive(Debug, derive_more::Display, derive_more::Error)]
@@ -48,10 +48,10 @@
         /// Why.
         source: std::io::Error,
     },
-    /// A part could not be set up.
+    /// A component could not be set up.
     #[display("{part}: {text}")]
     Setup {
-        /// The part.
+        /// Name of the component.
         part: &'static str,
         /// Why.
         text: String,
@@ -68,11 +68,11 @@
     }
 }
 
-/// Runs a daemon until it is told to stop.
+/// Runs a daemon until a signal or an operator stops it.
 ///
 /// # Errors
 ///
-/// Returns an error when a listener or a part can't be set up.
+/// Returns an error when a listener or a component can't be set up.
 pub fn run(settings: VmSettings) -> Result<()> {
     let setup = |part| {
         move |error: std::io::Error| DaemonError::Setup {
@@ -80,7 +80,7 @@
             text: error.to_string(),
         }
     };
-    // Calls between VMs keep their deadlines with these timers.
+    // tarpc enforces the deadlines of calls between VMs with Tokio timers.
     let timers = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(1)
         .enable_time()
@@ -109,17 +109,17 @@
     let (ready, ready_seen) = watch::channel(false);
     let (draining, draining_seen) = watch::channel(false);
     let (mailbox, messages) = flume::unbounded();
-    let count = Rc::new(Cell::new(0));
+    let caller_count = Rc::new(Cell::new(0));
     let (route_requests, route_requests_seen) = flume::unbounded();
-    let (primary_failed, failures) = flume::unbounded();
-    spawn(pass_on(
+    let (primary_failed, primary_failures) = flume::unbounded();
+    spawn(forward_messages(
         route_requests_seen,
         mailbox.clone(),
         NodeMessage::Locate,
     ))
     .detach();
-    spawn(pass_on(
-        failures,
+    spawn(forward_messages(
+        primary_failures,
         mailbox.clone(),
         NodeMessage::PrimaryFailed,
     ))
@@ -132,7 +132,7 @@
         routes,
         ready,
         draining,
-        callers: count.clone(),
+        callers: caller_count.clone(),
         primary_failed,
     };
     spawn(Node::new(parts, mailbox.clone()).run(messages)).detach();
@@ -158,26 +158,26 @@
         context.clone(),
         callers,
         ListenerKind::Public,
-        count.clone(),
+        caller_count.clone(),
     ))
     .detach();
     spawn(listener::accept(
         context,
         internal,
         ListenerKind::Internal,
-        count.clone(),
+        caller_count.clone(),
     ))
     .detach();
     log::info!(
         target: "daemon", callers = settings.callers.to_string().as_str(),
         zone = &*settings.zone; "started"
     );
-    // The watches stay while the VM stops, so that a second signal does not
-    // end it early.
+    // The signal handlers stay installed while the VM drains, so that a second
+    // signal does not kill it early.
     let mut terminate = SignalWatch::new(signals::TERMINATE);
     let mut interrupt = SignalWatch::new(signals::INTERRUPT);
     wait_for_stop(&mut terminate, &mut interrupt, &mailbox, draining_seen).await;
-    drain(&settings, &count).await;
+    drain(&settings, &caller_count).await;
     Ok(())
 }
 
@@ -209,7 +209,8 @@
     }
 }
 
-async fn pass_on<T>(
+/// Wraps each item of one channel and sends it to the control task.
+async fn forward_messages<T>(
     from: flume::Receiver<T>,
     to: flume::Sender<NodeMessage>,
     wrap: impl Fn(T) -> NodeMessage,
@@ -221,7 +222,8 @@
     }
 }
 
-/// Waits for a signal or an operator's order.
+/// Waits for a signal, which starts the drain, or for a drain that an operator
+/// started.
 async fn wait_for_stop(
     terminate: &mut SignalWatch,
     interrupt: &mut SignalWatch,
@@ -233,16 +235,16 @@
     let signals = std::pin::pin!(select(terminate, interrupt));
     let ordered = std::pin::pin!(draining.wait_for(|is_draining| *is_draining));
     if let Either::Left(_) = select(signals, ordered).await {
-        // A stopped control task has nothing to hand over.
+        // If the control task has stopped, nothing is left to drain.
         let _ = node.send(NodeMessage::Drain);
     }
 }
 
 async fn drain(settings: &VmSettings, callers: &Cell<usize>) {
     let deadline_ms = clock::now_ms() + settings.drain_ms;
-    compio::time::sleep(LINGER).await;
+    compio::time::sleep(SLOT_LINGER).await;
     while callers.get() > 0 && clock::now_ms() < deadline_ms {
-        compio::time::sleep(DRAIN_POLL).await;
+        compio::time::sleep(DRAIN_POLL_INTERVAL).await;
     }
     log::info!(target: "daemon", callers = callers.get(); "stopped");
 }
--- a/src/control/delegate.rs
+++ b/src/control/delegate.rs
@@ -1,8 +1,9 @@
-//! The task that watches one service's primary and replaces it.
+//! The delegate of a service: the task that monitors the service's primary and
+//! replaces it when it fails.
 
 use super::{
     node::NodeMessage,
-    operate::{Operation, operate},
+    operation::{Operation, run_operations},
 };
 use crate::{
     clock,
@@ -13,19 +14,20 @@
     settings::ServiceSettings,
 };
 
-/// Interval of ticks while all is well, in milliseconds.
-const CALM_TICK_MS: u64 = 250;
-/// Interval of ticks while the primary is in doubt, in milliseconds.
-const DOUBT_TICK_MS: u64 = 25;
+/// Interval of ticks while the primary is healthy, in milliseconds.
+const WATCHING_TICK_MS: u64 = 250;
+/// Interval of ticks while the primary is suspected or being replaced, in
+/// milliseconds.
+const FAILOVER_TICK_MS: u64 = 25;
 
-/// What a delegate needs from its VM.
+/// What a delegate shares with its VM.
 #[derive(Clone)]
 pub struct DelegateContext {
-    /// Service.
+    /// Name of the service.
     pub service: Name,
     /// Its settings.
     pub settings: Arc<ServiceSettings>,
-    /// Control task of this VM.
+    /// Mailbox of this VM's control task.
     pub node: flume::Sender<NodeMessage>,
     /// Metrics.
     pub metrics: Metrics,
@@ -39,7 +41,7 @@
 }
 
 impl DelegateHandle {
-    /// Starts a delegate that may use the reserved terms.
+    /// Starts a delegate that may promote members with the reserved terms.
     pub fn start(context: DelegateContext, reserved: std::ops::Range<u64>) -> DelegateHandle {
         let (events, mailbox) = flume::unbounded();
         let phase = Arc::new(std::sync::Mutex::new(PhaseName::Watching));
@@ -56,13 +58,13 @@
         handle
     }
 
-    /// Passes an event on.
+    /// Sends the delegate an event.
     pub fn send(&self, event: Event) {
-        // A stopped task needs no events.
+        // Nothing is lost if the task has stopped.
         let _ = self.events.send(event);
     }
 
-    /// Phase of the failover.
+    /// Current phase of the failover.
     pub fn phase(&self) -> PhaseName {
         *self.phase.lock().expect("no thread panics under this lock")
     }
@@ -71,7 +73,7 @@
 struct Delegate {
     context: DelegateContext,
     failover: Failover,
-    names: Vec<Name>,
+    member_names: Vec<Name>,
     operations: Vec<flume::Sender<Operation>>,
     phase: Arc<std::sync::Mutex<PhaseName>>,
 }
@@ -102,11 +104,11 @@
                     term: 0,
                 },
             };
-            start_operations(index, options, events.clone())
+            spawn_operations(index, options, events.clone())
         });
         Delegate {
             operations: operations.collect(),
-            names: list.iter().map(|(name, _)| name.clone()).collect(),
+            member_names: list.iter().map(|(name, _)| name.clone()).collect(),
             failover,
             context,
             phase,
@@ -116,8 +118,8 @@
     async fn run(mut self, mailbox: flume::Receiver<Event>) {
         loop {
             let tick_ms = match self.failover.phase() {
-                PhaseName::Watching => CALM_TICK_MS,
-                _ => DOUBT_TICK_MS,
+                PhaseName::Watching => WATCHING_TICK_MS,
+                _ => FAILOVER_TICK_MS,
             };
             let wait = Duration::from_millis(tick_ms);
             let event = match compio::time::timeout(wait, mailbox.recv_async()).await {
@@ -142,71 +144,73 @@
             *self.phase.lock().expect("no thread panics under this lock") = after;
         }
         for action in actions {
-            self.act(action);
+            self.execute(action);
         }
     }
 
-    fn act(&self, action: Action) {
+    fn execute(&self, action: Action) {
         let service = self.context.service.clone();
         match action {
-            Action::Probe(member) => self.operate(member, Operation::Probe),
-            Action::Raise { member, term } => self.operate(member, Operation::Raise(term)),
+            Action::Probe(member) => self.start(member, Operation::Probe),
+            Action::Raise { member, term } => self.start(member, Operation::Raise(term)),
             Action::Promote { member, term } => {
                 log::info!(
                     target: "placement", service = &*service,
-                    member = &*self.names[member], term = term, reason = "most_advanced";
+                    member = &*self.member_names[member], term = term, reason = "most_advanced";
                     "promoting"
                 );
-                self.operate(member, Operation::Promote(term));
+                self.start(member, Operation::Promote(term));
             }
-            Action::CheckReachability(member) => self.tell(NodeMessage::AskOpinions {
+            Action::CheckReachability(member) => self.notify_node(NodeMessage::AskHolders {
                 service,
-                member: self.names[member].clone(),
+                member: self.member_names[member].clone(),
             }),
             Action::Announce { member, term } => {
                 let labels = [label("outcome", "done"), name_label("service", &service)];
                 self.context.metrics.promotions.add(1, &labels);
-                self.tell(NodeMessage::Promoted {
+                self.notify_node(NodeMessage::Promoted {
                     service,
-                    member: self.names[member].clone(),
+                    member: self.member_names[member].clone(),
                     term,
                 });
             }
-            Action::Reserve => self.tell(NodeMessage::Reserve {
+            Action::Reserve => self.notify_node(NodeMessage::ReserveTerms {
                 service,
                 highest: self.failover.highest_term(),
             }),
         }
     }
 
-    fn operate(&self, member: usize, operation: Operation) {
-        // The task lives as long as this sender.
+    fn start(&self, member: usize, operation: Operation) {
+        // The member's task runs as long as this sender exists.
         let _ = self.operations[member].send(operation);
     }
 
-    fn tell(&self, message: NodeMessage) {
-        // A stopped control task is about to drop this delegate.
+    fn notify_node(&self, message: NodeMessage) {
+        // A control task that has stopped drops this delegate.
         let _ = self.context.node.send(message);
     }
 }
 
-fn start_operations(
+/// Starts the task that runs operations on one member and reports each result
+/// as an event.
+fn spawn_operations(
     member: usize,
     options: ConnectOptions,
     events: flume::WeakSender<Event>,
 ) -> flume::Sender<Operation> {
     let (sender, operations) = flume::unbounded();
-    let tell = move |operation, status| {
+    let report = move |operation, status| {
         let event = match operation {
             Operation::Probe => Event::Probed { member, status },
             Operation::Raise(_) => Event::Raised { member, status },
             Operation::Promote(_) => Event::Promoted { member, status },
         };
         if let Some(events) = events.upgrade() {
-            // A stopped delegate needs no results.
+            // Nothing is lost if the delegate has stopped.
             let _ = events.send(event);
         }
     };
-    compio::runtime::spawn(operate(options, operations, tell)).detach();
+    compio::runtime::spawn(run_operations(options, operations, report)).detach();
     sender
 }
--- a/src/control/keys.rs
+++ b/src/control/keys.rs
@@ -1,11 +1,11 @@
 //! Keys of the table service.
 
-/// Row that names the configuration in force.
+/// Key of the head row, which names the configuration in force.
 pub const CONFIG_HEAD: &str = "config/head";
-/// Prefix of the rows of services.
+/// Prefix of the keys of service rows.
 pub const SERVICE_PREFIX: &str = "service/";
 
-/// Row of a service.
+/// Key of a service's row.
 pub fn service(name: &str) -> String {
     format!("{SERVICE_PREFIX}{name}")
 }
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -1,5 +1,4 @@
-//! The work that VMs do together: membership, placement, failover and
-//! configuration.
+//! Coordination between VMs: membership, placement, failover and configuration.
 
 pub mod admin;
 pub mod apply;
@@ -8,7 +7,7 @@
 pub mod ids;
 pub mod keys;
 pub mod node;
-pub mod operate;
+pub mod operation;
 pub mod peer;
 pub mod peer_clients;
 pub mod peer_server;
--- a/src/control/node/config.rs
+++ b/src/control/node/config.rs
@@ -1,4 +1,5 @@
-//! Configuration: the poll of the head row, and how news spread.
+//! Configuration: polling the head row, fetching versions, and spreading new
+//! versions between VMs.
 
 use rand::{Rng, seq::IteratorRandom};
 
@@ -7,7 +8,7 @@
     clock,
     control::{
         keys,
-        peer::{ConfigUpdate, WholeSite},
+        peer::{ConfigUpdate, FullConfig},
     },
     decide::rollout::{Head, Plan, SiteChange},
     prelude::*,
@@ -17,15 +18,16 @@
 
 /// Mean interval between two reads of the head row, in milliseconds.
 const HEAD_INTERVAL_MS: u64 = 15_000;
-/// Interval while no configuration is known, in milliseconds.
-const FIRST_INTERVAL_MS: u64 = 500;
-/// VMs that a VM tells of a new version.
-const FANOUT: usize = 3;
-/// Longest wait for a VM that is told.
+/// Mean interval while no configuration is in force, and the pause after a
+/// failed fetch, in milliseconds.
+const RETRY_INTERVAL_MS: u64 = 500;
+/// Number of VMs to which a VM sends each new version.
+const PUSH_FANOUT: usize = 3;
+/// Longest wait for the answer to a pushed version, or to a request for changes.
 const PUSH_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Longest wait for a whole configuration from another VM.
-const SITE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Changes that a VM keeps for others.
+/// Longest wait for a complete configuration from another VM.
+const FULL_CONFIG_TIMEOUT: Duration = Duration::from_secs(10);
+/// Number of changes that a VM keeps to answer other VMs.
 const CHANGES_KEPT: usize = 64;
 
 impl Node {
@@ -35,12 +37,14 @@
         }
         let interval_ms = match self.head {
             Some(_) => HEAD_INTERVAL_MS,
-            None => FIRST_INTERVAL_MS,
+            None => RETRY_INTERVAL_MS,
         };
-        let spread_ms = self.rng.random_range(0..=interval_ms);
-        self.due.head_ms = now_ms + interval_ms / 2 + spread_ms;
+        let jitter_ms = self.rng.random_range(0..=interval_ms);
+        self.due.head_ms = now_ms + interval_ms / 2 + jitter_ms;
         let platform = self.parts.platform.clone();
-        self.ask(async move { NodeMessage::HeadRead(platform.read(keys::CONFIG_HEAD).await) });
+        self.spawn_task(
+            async move { NodeMessage::HeadRead(platform.read(keys::CONFIG_HEAD).await) },
+        );
     }
 
     pub(super) fn config_version(&self) -> Option<u64> {
@@ -49,8 +53,8 @@
 
     pub(super) fn head_read(&mut self, result: crate::store::Result<Option<Row<Head>>>) {
         match result {
-            Ok(Some(row)) => self.hear_head(row.value, None),
-            Ok(None) => self.release_waiting(),
+            Ok(Some(row)) => self.follow_head(row.value, None),
+            Ok(None) => self.answer_waiting(),
             Err(error) => {
                 log::warn!(target: "control", code = error.code().number(); "{error}");
                 if self.head.is_none() {
@@ -60,8 +64,8 @@
         }
     }
 
-    /// Another VM has another version: the one behind asks the other.
-    pub(super) fn compare_version(&mut self, vm: &Name, theirs: Option<u64>) {
+    /// Fetches the missing changes from a VM if it has a newer version in force.
+    pub(super) fn catch_up_with(&mut self, vm: &Name, theirs: Option<u64>) {
         if theirs <= self.config_version() || self.is_fetching {
             return;
         }
@@ -75,7 +79,7 @@
         self.is_fetching = true;
         let peers = self.peers.clone();
         let head = self.head.clone();
-        self.ask(async move {
+        self.spawn_task(async move {
             let answer = peers
                 .call(address, PUSH_TIMEOUT, async |client, context| {
                     client.changes(context, after).await
@@ -92,18 +96,20 @@
         });
     }
 
-    pub(super) fn hear_news(&mut self, news: ConfigUpdate) {
-        self.hear_head(news.head, Some(news.change));
+    pub(super) fn config_pushed(&mut self, update: ConfigUpdate) {
+        self.follow_head(update.head, Some(update.change));
     }
 
-    fn hear_head(&mut self, head: Head, change: Option<SiteChange>) {
+    /// Brings the configuration to the version of `head`; `change` is the change
+    /// that created it, if it is already here.
+    fn follow_head(&mut self, head: Head, change: Option<SiteChange>) {
         let plan = head.plan(self.config_version());
         match plan {
             Plan::Keep => {}
             Plan::RefuseOlder => {
                 log::info!(
                     target: "config", heard_version = head.version,
-                    version = self.config_version(); "older version refused"
+                    version = self.config_version(); "older configuration version ignored"
                 );
             }
             Plan::Changes(refs) => {
@@ -129,14 +135,14 @@
         }
         self.is_fetching = true;
         let platform = self.parts.platform.clone();
-        self.ask(async move {
+        self.spawn_task(async move {
             let result = fetch_objects(&platform, snapshot, &changes).await;
             NodeMessage::Fetched { head, result }
         });
     }
 
-    /// During an outage of the platform a new VM takes the configuration that
-    /// another VM has in force.
+    /// Fetches the configuration that another VM has in force, for a VM that
+    /// starts during an outage of the platform.
     fn fetch_from_peer(&mut self) {
         let others = self.membership.peers().keys().cloned();
         let Some(vm) = others.choose(&mut self.rng) else {
@@ -147,16 +153,16 @@
         };
         self.is_fetching = true;
         let peers = self.peers.clone();
-        self.ask(async move {
+        self.spawn_task(async move {
             let answer = peers
-                .call(address, SITE_TIMEOUT, async |client, context| {
+                .call(address, FULL_CONFIG_TIMEOUT, async |client, context| {
                     client.site(context).await
                 })
                 .await;
             match answer {
-                Ok(Some(whole)) => NodeMessage::Fetched {
-                    head: whole.head,
-                    result: Some(Fetched::Whole(whole.site, Vec::new())),
+                Ok(Some(full)) => NodeMessage::Fetched {
+                    head: full.head,
+                    result: Some(Fetched::Full(full.site, Vec::new())),
                 },
                 _ => NodeMessage::Fetched {
                     head: Head::empty(),
@@ -171,8 +177,8 @@
         match result {
             Some(fetched) => self.put_in_force(head, fetched),
             None if head.version > 0 => {
-                log::warn!(target: "config", version = head.version; "version not fetched");
-                self.due.head_ms = clock::now_ms() + FIRST_INTERVAL_MS;
+                log::warn!(target: "config", version = head.version; "configuration version could not be fetched");
+                self.due.head_ms = clock::now_ms() + RETRY_INTERVAL_MS;
             }
             None => {}
         }
@@ -187,7 +193,7 @@
         }
         let changes = match fetched {
             Fetched::Changes(changes) => changes,
-            Fetched::Whole(site, changes) => {
+            Fetched::Full(site, changes) => {
                 self.site = site;
                 changes
             }
@@ -208,33 +214,33 @@
         while self.changes.len() > CHANGES_KEPT {
             self.changes.pop_first();
         }
-        self.take_site();
-        self.release_waiting();
+        self.apply_site();
+        self.answer_waiting();
         if let Some(change) = last.filter(|_| !is_first) {
-            self.spread(change);
+            self.push_to_peers(change);
         }
     }
 
-    fn spread(&mut self, change: SiteChange) {
+    fn push_to_peers(&mut self, change: SiteChange) {
         let Some(head) = self.head.clone() else {
             return;
         };
         let others = self.membership.peers().keys();
-        let chosen = others.choose_multiple(&mut self.rng, FANOUT);
+        let chosen = others.choose_multiple(&mut self.rng, PUSH_FANOUT);
         let addresses: Vec<_> = chosen
             .into_iter()
             .filter_map(|vm| self.address_of(vm))
             .collect();
         let head = head.for_peers();
-        let news = ConfigUpdate { head, change };
+        let update = ConfigUpdate { head, change };
         for address in addresses {
             let peers = self.peers.clone();
-            let news = news.clone();
+            let update = update.clone();
             compio::runtime::spawn(async move {
-                // Who misses it learns from probes or from the head row.
+                // A VM that misses it sees the version in probes or in the head row.
                 let _ = peers
                     .call(address, PUSH_TIMEOUT, async |client, context| {
-                        client.push(context, news.clone()).await
+                        client.push(context, update.clone()).await
                     })
                     .await;
             })
@@ -249,14 +255,14 @@
             .range(after + 1..)
             .map(|(_, c)| c.clone())
             .collect();
-        let is_whole = changes.len() as u64 == head.version.saturating_sub(after);
-        (is_whole && !changes.is_empty()).then_some((head, changes))
+        let is_complete = changes.len() as u64 == head.version.saturating_sub(after);
+        (is_complete && !changes.is_empty()).then_some((head, changes))
     }
 
-    pub(super) fn whole_site(&self) -> Option<WholeSite> {
+    pub(super) fn full_config(&self) -> Option<FullConfig> {
         let head = self.head.clone()?;
         let site = self.site.clone();
-        Some(WholeSite { head, site })
+        Some(FullConfig { head, site })
     }
 }
 
@@ -275,5 +281,5 @@
     };
     let body = platform.read_object(&snapshot).await.ok()??;
     let site: SiteSettings = serde_json::from_slice(&body).ok()?;
-    Some(Fetched::Whole(site, changes))
+    Some(Fetched::Full(site, changes))
 }
--- a/src/control/node/message.rs
+++ b/src/control/node/message.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     control::{
-        peer::{ConfigUpdate, OrderAnswer, Ping, Pong, WholeSite},
+        peer::{ConfigUpdate, FullConfig, OrderAnswer, Ping, Pong},
         service_row::ServiceRow,
         status::VmStatus,
     },
@@ -15,68 +15,68 @@
     prelude::*,
     proxy::context::RouteRequest,
     settings::SiteSettings,
-    store::{ListedVm, Result, Row, Written},
+    store::{ListedVm, Result, Row, WriteOutcome},
 };
 
-/// What was fetched of a configuration.
+/// Fetched parts of a configuration.
 #[derive(Debug)]
 pub enum Fetched {
-    /// Changes in order.
+    /// Changes, oldest first.
     Changes(Vec<SiteChange>),
-    /// A whole configuration, and changes after it.
-    Whole(SiteSettings, Vec<SiteChange>),
+    /// A complete configuration, and changes after it.
+    Full(SiteSettings, Vec<SiteChange>),
 }
 
 /// A message to the control task.
 pub enum NodeMessage {
     /// A caller needs the route to a service.
     Locate(RouteRequest),
-    /// The head row was read.
+    /// Result of reading the head row.
     HeadRead(Result<Option<Row<Head>>>),
-    /// Objects of a configuration were fetched.
+    /// Result of fetching a configuration version.
     Fetched {
-        /// The head they lead to.
+        /// Head of the version.
         head: Head,
-        /// The objects; `None` if they could not be had.
+        /// What was fetched; `None` if that failed.
         result: Option<Fetched>,
     },
-    /// The platform listed the VMs.
+    /// Result of reading the platform's VM list.
     VmsListed(Result<Vec<ListedVm>>),
-    /// A service's row was read.
+    /// Result of reading a service's row.
     RowRead {
         /// Service.
         service: Name,
-        /// The row.
+        /// The row, if there is one.
         result: Result<Option<Row<ServiceRow>>>,
     },
-    /// Other VMs were asked for a service's row.
-    RowTold {
+    /// Result of asking other VMs for a service's row.
+    RowFromPeers {
         /// Service.
         service: Name,
-        /// The newest row they know.
+        /// The newest row that any of them knows.
         row: Option<Row<ServiceRow>>,
     },
-    /// Another VM told of a service's row.
-    RowHeard {
+    /// Another VM sent a service's row.
+    RowPushed {
         /// Service.
         service: Name,
         /// The row.
         row: Row<ServiceRow>,
     },
-    /// A service's row was written, or not.
+    /// Result of writing a service's row.
     RowWritten {
         /// Service.
         service: Name,
-        /// What was to be written.
+        /// The row that was to be written.
         row: Box<ServiceRow>,
-        /// Outcome.
-        result: Result<Written<ServiceRow>>,
+        /// Outcome of the write.
+        result: Result<WriteOutcome<ServiceRow>>,
     },
-    /// A probed VM answered, or did not.
-    Pinged {
-        /// The VM.
+    /// Result of a probe.
+    ProbeResult {
+        /// The probed VM.
         vm: Name,
-        /// Its answer.
+        /// Its answer; `None` if it can't be reached.
         pong: Option<Pong>,
     },
     /// Another VM probes this one.
@@ -86,11 +86,11 @@
         /// Answer.
         reply: oneshot::Sender<Pong>,
     },
-    /// Another VM asks to probe a third one.
-    ProbeFor {
+    /// Another VM asks this one to probe a third VM.
+    IndirectProbe {
         /// The third VM.
         vm: Name,
-        /// Answer: whether it answered.
+        /// Answer: whether the third VM answered.
         reply: oneshot::Sender<bool>,
     },
     /// Another VM asks for all VMs that this one knows.
@@ -98,26 +98,26 @@
         /// Answer.
         reply: oneshot::Sender<Vec<Change>>,
     },
-    /// A seed told of the VMs it knows.
-    MembersHeard(Vec<Change>),
-    /// Another VM tells of a configuration version.
-    News {
+    /// VMs that a seed knows; empty if it did not answer.
+    SeedMembers(Vec<Change>),
+    /// Another VM or the command-line tool sent a configuration version.
+    ConfigPushed {
         /// The version.
-        news: Box<ConfigUpdate>,
-        /// Answer: the version in force.
+        update: Box<ConfigUpdate>,
+        /// Answer: the version in force afterwards.
         reply: oneshot::Sender<Option<u64>>,
     },
     /// Another VM asks for the changes after a version.
     ChangesAfter {
         /// The version.
         after: u64,
-        /// Answer.
+        /// Answer; `None` if they are not kept any more.
         reply: oneshot::Sender<Option<(Head, Vec<SiteChange>)>>,
     },
-    /// Another VM asks for the whole configuration.
-    Site {
-        /// Answer.
-        reply: oneshot::Sender<Option<WholeSite>>,
+    /// Another VM asks for the complete configuration.
+    FullConfig {
+        /// Answer; `None` if none is in force.
+        reply: oneshot::Sender<Option<FullConfig>>,
     },
     /// Another VM asks for a service's row.
     Row {
@@ -126,7 +126,8 @@
         /// Answer.
         reply: oneshot::Sender<Option<Row<ServiceRow>>>,
     },
-    /// A delegate asks whether this VM reaches a member as a primary.
+    /// A delegate asks whether this VM reaches a member and sees it as the
+    /// primary.
     ReachesPrimary {
         /// Service.
         service: Name,
@@ -135,22 +136,23 @@
         /// Answer.
         reply: oneshot::Sender<bool>,
     },
-    /// The delegate on this VM needs second opinions.
-    AskOpinions {
+    /// The delegate on this VM has lost its primary and wants to know whether
+    /// other slot holders still reach it.
+    AskHolders {
         /// Service.
         service: Name,
-        /// The primary in doubt.
+        /// The suspected primary.
         member: Name,
     },
-    /// The second opinions came.
-    OpinionsHeard {
+    /// Result of asking the other slot holders.
+    HoldersAnswered {
         /// Service.
         service: Name,
-        /// Whether one of the others reaches the primary.
-        reaches: bool,
+        /// Whether any of them reaches the primary.
+        reaches_primary: bool,
     },
     /// The delegate on this VM has no reserved term left.
-    Reserve {
+    ReserveTerms {
         /// Service.
         service: Name,
         /// Highest term it has seen.
@@ -165,18 +167,18 @@
         /// Its term.
         term: u64,
     },
-    /// A slot on this VM lost its primary.
+    /// A slot on this VM lost its primary; the name of the service.
     PrimaryFailed(Name),
-    /// A slot on another VM lost its primary.
-    DoubtHeard(Name),
-    /// The delegate on another VM was told that a primary failed.
-    DelegateAsked {
-        /// The VM.
+    /// A slot on another VM lost its primary; the name of the service.
+    PrimarySuspected(Name),
+    /// Result of telling the delegate on another VM that a primary failed.
+    DelegateNotified {
+        /// VM of the delegate.
         vm: Name,
         /// Whether it answered.
-        is_heard: bool,
+        has_answered: bool,
     },
-    /// An operator asks for this VM's report.
+    /// An operator asks for this VM's status.
     Status {
         /// Answer.
         reply: oneshot::Sender<VmStatus>,
@@ -185,11 +187,11 @@
     OrderFailover {
         /// Service.
         service: Name,
-        /// Member that is preferred.
+        /// Member that is preferred as the new primary.
         member: Name,
         /// Answer.
         reply: oneshot::Sender<OrderAnswer>,
     },
-    /// Stop gracefully.
+    /// Stop this VM gracefully.
     Drain,
 }
--- a/src/control/node/mod.rs
+++ b/src/control/node/mod.rs
@@ -1,5 +1,6 @@
-//! The control task of a VM. It owns what the VM knows of the others, of the
-//! configuration and of the services, and publishes the routes.
+//! The control task of a VM. It owns the VM's view of the membership, the
+//! configuration and the service rows, runs the slots and delegates that these
+//! assign to the VM, and publishes the routes.
 
 mod config;
 mod members;
@@ -39,58 +40,59 @@
 
 /// Interval of ticks, in milliseconds.
 const TICK_MS: u64 = 200;
-/// Gap between ticks after which this VM counts as paused, in milliseconds.
+/// Gap between ticks from which the VM counts as having been paused, in
+/// milliseconds.
 const PAUSE_MS: u64 = 2_000;
 
 /// A slot that runs on this VM.
-struct OwnSlot {
+struct LocalSlot {
     handle: SlotHandle,
     stop: flume::Sender<()>,
     settings: Arc<ServiceSettings>,
 }
 
 /// A delegate that runs on this VM.
-struct OwnDelegate {
+struct LocalDelegate {
     handle: DelegateHandle,
     settings: Arc<ServiceSettings>,
 }
 
-/// A row of a service as it was last heard of.
+/// A service's row as this VM knows it.
 struct KnownRow {
     row: Row<ServiceRow>,
     read_ms: u64,
 }
 
-/// Times of periodic work, in milliseconds.
+/// Times at which periodic work is due next, in milliseconds.
 #[derive(Default)]
 struct Due {
     probe_ms: u64,
     head_ms: u64,
-    vms_ms: u64,
+    vm_list_ms: u64,
     rows_ms: u64,
 }
 
-/// What the control task starts with.
+/// Settings, clients and channels that the control task starts with.
 pub struct NodeParts {
     /// Settings of this VM.
     pub settings: Arc<VmSettings>,
     /// Metrics.
     pub metrics: Metrics,
-    /// Client of the platform.
+    /// Client of the platform's services.
     pub platform: StoreClient,
-    /// Where the routes are published.
+    /// Publishes the routes.
     pub routes: watch::Sender<Rc<RouteTable>>,
     /// Set once a configuration is in force.
     pub ready: watch::Sender<bool>,
-    /// Set when the VM stops.
+    /// Set once the VM is draining.
     pub draining: watch::Sender<bool>,
     /// Callers connected now.
     pub callers: Rc<Cell<usize>>,
-    /// Told when a slot's primary seems to fail.
+    /// Receives the name of a service whose primary fails, from its slot here.
     pub primary_failed: flume::Sender<Name>,
 }
 
-/// The control task.
+/// State of the control task.
 pub struct Node {
     parts: NodeParts,
     own: Name,
@@ -107,11 +109,11 @@
     changes: BTreeMap<u64, SiteChange>,
     is_fetching: bool,
     rows: BTreeMap<Name, KnownRow>,
-    reading: BTreeMap<Name, Vec<oneshot::Sender<()>>>,
-    writing: BTreeSet<Name>,
-    slots: BTreeMap<Name, OwnSlot>,
-    delegates: BTreeMap<Name, OwnDelegate>,
-    promoted: BTreeMap<Name, (u64, Name)>,
+    row_reads: BTreeMap<Name, Vec<oneshot::Sender<()>>>,
+    row_writes: BTreeSet<Name>,
+    slots: BTreeMap<Name, LocalSlot>,
+    delegates: BTreeMap<Name, LocalDelegate>,
+    promotions: BTreeMap<Name, (u64, Name)>,
     waiting_for_site: Vec<RouteRequest>,
     due: Due,
     last_tick_ms: u64,
@@ -119,7 +121,7 @@
 }
 
 impl Node {
-    /// Creates the control task's state; `mailbox` reaches it.
+    /// Creates the state; `mailbox` sends messages to the task.
     pub fn new(parts: NodeParts, mailbox: flume::Sender<NodeMessage>) -> Node {
         let own = parts.settings.vm.clone();
         let place = Place {
@@ -136,7 +138,7 @@
         Node {
             own,
             mailbox,
-            peers: PeerClients::counting(ByteCount::new(parts.metrics.peer_bytes.clone())),
+            peers: PeerClients::new(ByteCount::new(parts.metrics.peer_bytes.clone())),
             rng: SmallRng::from_rng(&mut rand::rng()),
             membership,
             guardians: StandbyMap::default(),
@@ -148,11 +150,11 @@
             changes: BTreeMap::new(),
             is_fetching: false,
             rows: BTreeMap::new(),
-            reading: BTreeMap::new(),
-            writing: BTreeSet::new(),
+            row_reads: BTreeMap::new(),
+            row_writes: BTreeSet::new(),
             slots: BTreeMap::new(),
             delegates: BTreeMap::new(),
-            promoted: BTreeMap::new(),
+            promotions: BTreeMap::new(),
             waiting_for_site: Vec::new(),
             due: Due::default(),
             last_tick_ms: clock::now_ms(),
@@ -167,7 +169,7 @@
         loop {
             let wait = Duration::from_millis(TICK_MS);
             match compio::time::timeout(wait, mailbox.recv_async()).await {
-                Ok(Ok(message)) => self.take(message),
+                Ok(Ok(message)) => self.handle(message),
                 Ok(Err(_)) => return,
                 Err(_) => {}
             }
@@ -191,7 +193,8 @@
         self.tick_rows(now_ms);
     }
 
-    /// This VM was paused: what it held may be held by others now.
+    /// Refreshes everything after this VM was paused, since other VMs may have
+    /// taken over its slots and delegate roles meanwhile.
     fn after_pause(&mut self, paused_ms: u64) {
         log::warn!(target: "control", paused_ms = paused_ms; "this VM was paused");
         for known in self.rows.values_mut() {
@@ -200,39 +203,39 @@
         self.due = Due::default();
     }
 
-    fn take(&mut self, message: NodeMessage) {
+    fn handle(&mut self, message: NodeMessage) {
         match message {
             NodeMessage::Locate(locate) => self.locate(locate),
             NodeMessage::HeadRead(result) => self.head_read(result),
             NodeMessage::Fetched { head, result } => self.fetched(head, result),
             NodeMessage::VmsListed(result) => self.vms_listed(result),
             NodeMessage::RowRead { service, result } => self.row_read(&service, result),
-            NodeMessage::RowTold { service, row } => self.row_told(&service, row),
-            NodeMessage::RowHeard { service, row } => self.hear_row(&service, row),
+            NodeMessage::RowFromPeers { service, row } => self.row_from_peers(&service, row),
+            NodeMessage::RowPushed { service, row } => self.row_pushed(&service, row),
             NodeMessage::RowWritten {
                 service,
                 row,
                 result,
             } => self.row_written(&service, *row, result),
-            NodeMessage::Pinged { vm, pong } => self.pinged(&vm, pong),
+            NodeMessage::ProbeResult { vm, pong } => self.probe_result(&vm, pong),
             NodeMessage::Ping { ping, reply } => {
-                // The other side may have given up.
+                // The caller may have timed out; so in the other arms.
                 let _ = reply.send(self.answer_ping(&ping));
             }
-            NodeMessage::ProbeFor { vm, reply } => self.probe_for(&vm, reply),
+            NodeMessage::IndirectProbe { vm, reply } => self.indirect_probe(&vm, reply),
             NodeMessage::Members { reply } => {
                 let _ = reply.send(self.membership.known());
             }
-            NodeMessage::MembersHeard(changes) => self.members_heard(&changes),
-            NodeMessage::News { news, reply } => {
-                self.hear_news(*news);
+            NodeMessage::SeedMembers(changes) => self.seed_members(&changes),
+            NodeMessage::ConfigPushed { update, reply } => {
+                self.config_pushed(*update);
                 let _ = reply.send(self.config_version());
             }
             NodeMessage::ChangesAfter { after, reply } => {
                 let _ = reply.send(self.changes_after(after));
             }
-            NodeMessage::Site { reply } => {
-                let _ = reply.send(self.whole_site());
+            NodeMessage::FullConfig { reply } => {
+                let _ = reply.send(self.full_config());
             }
             NodeMessage::Row { service, reply } => {
                 let known = self.rows.get(&service).map(|k| k.row.clone());
@@ -242,19 +245,24 @@
                 service,
                 member,
                 reply,
-            } => self.answer_reaches(&service, member, reply),
-            NodeMessage::AskOpinions { service, member } => self.ask_opinions(&service, &member),
-            NodeMessage::OpinionsHeard { service, reaches } => self.opinions(&service, reaches),
-            NodeMessage::Reserve { service, highest } => self.reserve(&service, highest),
+            } => self.answer_reaches_primary(&service, member, reply),
+            NodeMessage::AskHolders { service, member } => self.ask_holders(&service, &member),
+            NodeMessage::HoldersAnswered {
+                service,
+                reaches_primary,
+            } => self.holders_answered(&service, reaches_primary),
+            NodeMessage::ReserveTerms { service, highest } => self.reserve_terms(&service, highest),
             NodeMessage::Promoted {
                 service,
                 member,
                 term,
             } => self.promoted(service, member, term),
             NodeMessage::PrimaryFailed(service) => self.primary_failed(&service),
-            NodeMessage::DelegateAsked { vm, is_heard } => self.delegate_asked(&vm, is_heard),
-            NodeMessage::DoubtHeard(service) => {
-                self.tell_delegate(&service, Event::TrafficFailed);
+            NodeMessage::DelegateNotified { vm, has_answered } => {
+                self.delegate_notified(&vm, has_answered)
+            }
+            NodeMessage::PrimarySuspected(service) => {
+                self.notify_delegate(&service, Event::TrafficFailed);
             }
             NodeMessage::Status { reply } => self.status(reply),
             NodeMessage::OrderFailover {
@@ -268,12 +276,12 @@
         }
     }
 
-    /// Runs `work` beside this task and gets its result as a message.
-    fn ask(&self, work: impl Future<Output = NodeMessage> + 'static) {
+    /// Runs `work` in a task of its own; its result comes back as a message.
+    fn spawn_task(&self, work: impl Future<Output = NodeMessage> + 'static) {
         let mailbox = self.mailbox.clone();
         spawn(async move {
             let message = work.await;
-            // A stopped control task needs no results.
+            // Nothing is lost if the control task has stopped.
             let _ = mailbox.send(message);
         })
         .detach();
--- a/src/control/node/orders.rs
+++ b/src/control/node/orders.rs
@@ -1,4 +1,5 @@
-//! Failover and operators: opinions, promotions, reports and orders.
+//! Failover and operators: the other holders' view of a primary, promotions,
+//! status and orders.
 
 use futures::{channel::oneshot, future::join_all};
 
@@ -13,12 +14,12 @@
     proxy::slot::SlotHandle,
 };
 
-/// Longest wait for an opinion.
-const OPINION_TIMEOUT: Duration = Duration::from_millis(400);
+/// Longest wait for the answer of a slot holder.
+const HOLDER_TIMEOUT: Duration = Duration::from_millis(400);
 
 impl Node {
     /// Asks the other slot holders whether they reach the primary.
-    pub(super) fn ask_opinions(&mut self, service: &Name, member: &Name) {
+    pub(super) fn ask_holders(&mut self, service: &Name, member: &Name) {
         let Some(known) = self.rows.get(service) else {
             return;
         };
@@ -28,11 +29,11 @@
         let peers = self.peers.clone();
         let service = service.clone();
         let member = member.clone();
-        self.ask(async move {
-            let asked = addresses.into_iter().map(|address| {
+        self.spawn_task(async move {
+            let calls = addresses.into_iter().map(|address| {
                 let (peers, service, member) = (peers.clone(), service.clone(), member.clone());
                 async move {
-                    let call = peers.call(address, OPINION_TIMEOUT, async |client, context| {
+                    let call = peers.call(address, HOLDER_TIMEOUT, async |client, context| {
                         client
                             .reaches_primary(context, service.clone(), member.clone())
                             .await
@@ -40,16 +41,19 @@
                     call.await.unwrap_or(false)
                 }
             });
-            let reaches = join_all(asked).await.into_iter().any(|reaches| reaches);
-            NodeMessage::OpinionsHeard { service, reaches }
+            let reaches_primary = join_all(calls).await.into_iter().any(|reaches| reaches);
+            NodeMessage::HoldersAnswered {
+                service,
+                reaches_primary,
+            }
         });
     }
 
-    pub(super) fn opinions(&mut self, service: &Name, reaches_primary: bool) {
-        self.tell_delegate(service, Event::Reachability { reaches_primary });
+    pub(super) fn holders_answered(&mut self, service: &Name, reaches_primary: bool) {
+        self.notify_delegate(service, Event::Reachability { reaches_primary });
     }
 
-    pub(super) fn answer_reaches(
+    pub(super) fn answer_reaches_primary(
         &mut self,
         service: &Name,
         member: Name,
@@ -60,27 +64,29 @@
             return;
         };
         compio::runtime::spawn(async move {
-            // The delegate may have given up.
-            let _ = reply.send(reaches(&slot, &member).await);
+            // The delegate may have timed out.
+            let _ = reply.send(reaches_primary(&slot, &member).await);
         })
         .detach();
     }
 
-    /// The delegate here promoted a member: tell everybody, then write the row.
+    /// Records a promotion by the delegate here: the slot holders are notified
+    /// first, then the row is written.
     pub(super) fn promoted(&mut self, service: Name, member: Name, term: u64) {
         log::info!(
             target: "placement", service = &*service, member = &*member, term = term;
             "promoted"
         );
-        self.promoted
+        self.promotions
             .insert(service.clone(), (term, member.clone()));
         self.refresh_slot(&service);
         if let Some(known) = self.rows.get(&service) {
             let mut row = known.row.clone();
             row.value.term = term;
             row.value.primary = Some(member);
-            // The version stays: it tells the holders to look, not what to keep.
-            self.tell_holders(&service, &row);
+            // With the old version the holders do not store this row: its new term
+            // only makes them look for the primary.
+            self.push_row(&service, &row);
         }
         self.due.rows_ms = 0;
     }
@@ -96,7 +102,7 @@
         if !self.delegates.contains_key(service) {
             return refused("this VM is not the delegate of the service");
         }
-        self.tell_delegate(service, Event::Order { preferred });
+        self.notify_delegate(service, Event::Order { preferred });
         OrderAnswer::Accepted
     }
 
@@ -134,32 +140,33 @@
                     open: report.open,
                 });
             }
-            // The operator may have given up.
+            // The operator may have timed out.
             let _ = reply.send(status);
         })
         .detach();
     }
 
-    /// Starts the graceful stop: no new callers, slots to others.
+    /// Starts the graceful stop: the VM accepts no new callers and its slots move
+    /// to other VMs.
     pub(super) fn drain(&mut self) {
         if self.is_draining() {
             return;
         }
         log::info!(target: "control", "stopping");
-        self.say_farewell();
+        self.announce_leaving();
         self.parts.draining.send_replace(true);
     }
 }
 
-async fn reaches(slot: &SlotHandle, member: &Name) -> bool {
+async fn reaches_primary(slot: &SlotHandle, member: &Name) -> bool {
     let report = slot.report().await;
     let index = report
         .members
         .iter()
         .position(|view| view.name.as_ref() == Some(member));
     let Some(index) = index else { return false };
-    let leads = report.members[index]
+    let is_primary = report.members[index]
         .observation
         .is_some_and(|o| o.status.role == Role::Primary);
-    leads && !slot.is_gone(index, 0).await
+    is_primary && !slot.is_gone(index, 0).await
 }
--- a/src/control/node/rows.rs
+++ b/src/control/node/rows.rs
@@ -1,4 +1,5 @@
-//! Rows of services: reading, claiming, placing slots, reserving terms.
+//! Service rows: reading and writing them, claiming the delegate role, placing
+//! slots and reserving terms.
 
 use futures::future::join_all;
 use rand::seq::IteratorRandom;
@@ -13,19 +14,21 @@
     },
     decision_log::decision,
     prelude::*,
-    store::{Result, Row, Written},
+    store::{Result, Row, WriteOutcome},
 };
 
-/// Interval between two looks at the rows that this VM answers for.
+/// Interval between two checks of the rows that this VM is responsible for, in
+/// milliseconds.
 const ROWS_INTERVAL_MS: u64 = 500;
-/// Age at which a row that this VM answers for is read again, in milliseconds.
-const ROW_REPAIR_MS: u64 = 60_000;
-/// Longest wait for a VM that is told of a row.
-const TELL_TIMEOUT: Duration = Duration::from_millis(500);
+/// Age at which a row that this VM is responsible for is read again, in
+/// milliseconds.
+const ROW_REREAD_MS: u64 = 60_000;
+/// Longest wait for a VM to which a row is sent, or which is asked for one.
+const ROW_CALL_TIMEOUT: Duration = Duration::from_millis(500);
 /// VMs asked for a row besides its guardian while the platform is down.
-const ROW_WITNESSES: usize = 6;
-/// Fewest reserved terms left before more are reserved.
-const RESERVED_MIN: u64 = 8;
+const ROW_PEERS: usize = 6;
+/// Number of reserved terms below which more are reserved.
+const RESERVED_TERMS_MIN: u64 = 8;
 
 impl Node {
     pub(super) fn tick_rows(&mut self, now_ms: u64) {
@@ -40,31 +43,33 @@
         services.extend(self.delegates.keys().cloned());
         services.extend(self.slots.keys().cloned());
         for service in services {
-            self.look_after(&service, now_ms);
+            self.check_row(&service, now_ms);
         }
     }
 
-    fn look_after(&mut self, service: &Name, now_ms: u64) {
-        if self.writing.contains(service) {
+    /// Reads the row if it is unknown or old, places its slots as the delegate, or
+    /// claims the delegate role if the delegate is gone.
+    fn check_row(&mut self, service: &Name, now_ms: u64) {
+        if self.row_writes.contains(service) {
             return;
         }
         let Some(known) = self.rows.get_mut(service) else {
             self.read_row_once(service);
             return;
         };
-        if now_ms >= known.read_ms + ROW_REPAIR_MS {
+        if now_ms >= known.read_ms + ROW_REREAD_MS {
             known.read_ms = now_ms;
             self.read_row(service);
             return;
         }
         let row = known.row.clone();
         let delegate = row.value.delegate.clone();
-        let is_cared_for = delegate
+        let has_working_delegate = delegate
             .as_ref()
             .is_some_and(|vm| self.membership.is_working(vm));
         if delegate.as_ref() == Some(&self.own) {
             self.place_slots(service, &row);
-        } else if !is_cared_for && self.is_guardian(service) {
+        } else if !has_working_delegate && self.is_guardian(service) {
             self.claim(service, Some(&row));
         }
     }
@@ -74,8 +79,8 @@
     }
 
     fn read_row_once(&mut self, service: &Name) {
-        if !self.reading.contains_key(service) {
-            self.reading.insert(service.clone(), Vec::new());
+        if !self.row_reads.contains_key(service) {
+            self.row_reads.insert(service.clone(), Vec::new());
             self.read_row(service);
         }
     }
@@ -86,11 +91,11 @@
         {
             log::warn!(
                 target: "control", service = &**service, code = error.code().number();
-                "row not read, asking other VMs: {error}"
+                "service row not read; asking other VMs: {error}"
             );
             return;
         }
-        let waiting = self.reading.remove(service).unwrap_or_default();
+        let waiting = self.row_reads.remove(service).unwrap_or_default();
         match result {
             Ok(Some(row)) => self.adopt_row(service, row, true),
             Ok(None) if self.knows_guardians && self.is_guardian(service) => {
@@ -100,7 +105,7 @@
             Err(error) => {
                 log::warn!(
                     target: "control", service = &**service, code = error.code().number();
-                    "row not read: {error}"
+                    "service row not read: {error}"
                 );
             }
         }
@@ -110,14 +115,14 @@
         }
     }
 
-    /// While the platform is down, asks VMs that may know a row; `false` if it is
-    /// known here or nobody can be asked.
+    /// Asks VMs that may know a row while the platform is down. Returns `false` if
+    /// the row is known here or no VM can be asked.
     fn ask_peers_for_row(&mut self, service: &Name) -> bool {
         if self.rows.contains_key(service) {
             return false;
         }
         let others = self.membership.peers().keys();
-        let mut vms = others.choose_multiple(&mut self.rng, ROW_WITNESSES);
+        let mut vms = others.choose_multiple(&mut self.rng, ROW_PEERS);
         vms.extend(self.guardians.standby_of(service));
         let addresses: BTreeSet<_> = vms.iter().filter_map(|vm| self.address_of(vm)).collect();
         if addresses.is_empty() {
@@ -125,11 +130,11 @@
         }
         let peers = self.peers.clone();
         let service = service.clone();
-        self.ask(async move {
+        self.spawn_task(async move {
             let calls = addresses.into_iter().map(|address| {
                 let (peers, service) = (peers.clone(), service.clone());
                 async move {
-                    let call = peers.call(address, TELL_TIMEOUT, async |client, context| {
+                    let call = peers.call(address, ROW_CALL_TIMEOUT, async |client, context| {
                         client.row(context, service.clone()).await
                     });
                     call.await.ok().flatten()
@@ -137,7 +142,7 @@
             });
             let rows = join_all(calls).await.into_iter().flatten();
             let newest = rows.max_by_key(|row| row.version);
-            NodeMessage::RowTold {
+            NodeMessage::RowFromPeers {
                 service,
                 row: newest,
             }
@@ -145,21 +150,21 @@
         true
     }
 
-    /// Other VMs told of a row, or know none; that they know none does not
-    /// mean that there is none.
-    pub(super) fn row_told(&mut self, service: &Name, row: Option<Row<ServiceRow>>) {
+    /// Takes a row from other VMs. If they know none, the row may still exist, so
+    /// the service is not claimed.
+    pub(super) fn row_from_peers(&mut self, service: &Name, row: Option<Row<ServiceRow>>) {
         if let Some(row) = row {
             self.adopt_row(service, row, false);
         }
-        for reply in self.reading.remove(service).unwrap_or_default() {
+        for reply in self.row_reads.remove(service).unwrap_or_default() {
             // The caller may have gone away.
             let _ = reply.send(());
         }
     }
 
-    /// Another VM told of a row. A delegate tells of a promotion before it is
-    /// written: the version is old then, but the term is new.
-    pub(super) fn hear_row(&mut self, service: &Name, row: Row<ServiceRow>) {
+    /// Takes a row that another VM sent. A delegate sends a promotion before it
+    /// writes the row: then the version is old, but the term is new.
+    pub(super) fn row_pushed(&mut self, service: &Name, row: Row<ServiceRow>) {
         let known_term = self
             .rows
             .get(service)
@@ -170,7 +175,8 @@
         self.adopt_row(service, row, false);
     }
 
-    /// Takes over a row if it is newer than what is known.
+    /// Stores a row if it is newer than the known one, and starts or stops the slot
+    /// and the delegate here accordingly.
     pub(super) fn adopt_row(&mut self, service: &Name, row: Row<ServiceRow>, is_read: bool) {
         let now_ms = clock::now_ms();
         if let Some(known) = self.rows.get_mut(service)
@@ -184,24 +190,25 @@
         if !self.services.contains_key(service) {
             return;
         }
-        let before = self
+        let term_before = self
             .rows
             .get(service)
             .map_or(0, |known| known.row.value.term);
-        let after = row.value.term;
+        let term = row.value.term;
         let known = KnownRow {
             row,
             read_ms: now_ms,
         };
         self.rows.insert(service.clone(), known);
         self.reconcile(service);
-        if after > before {
+        if term > term_before {
             self.refresh_slot(service);
         }
         self.publish();
     }
 
-    /// Makes this VM the delegate of a service whose delegate is gone.
+    /// Makes this VM the delegate of a service whose delegate is gone, with newly
+    /// reserved terms.
     fn claim(&mut self, service: &Name, known: Option<&Row<ServiceRow>>) {
         let mut row = known.map(|k| k.value.clone()).unwrap_or_default();
         decision!(
@@ -210,20 +217,21 @@
         );
         row.delegate = Some(self.own.clone());
         row.reserve(row.term);
-        self.assign(service, &mut row);
+        self.assign_slots(service, &mut row);
         self.write_row(service, known.map_or(0, |k| k.version), row);
     }
 
-    /// Gives slots without a working holder to other VMs.
+    /// Assigns slots without a working holder to other VMs, and writes a promotion
+    /// that the row lacks.
     fn place_slots(&mut self, service: &Name, known: &Row<ServiceRow>) {
         let mut row = known.value.clone();
-        self.assign(service, &mut row);
-        let unwritten = self.promoted.get(service).cloned();
+        self.assign_slots(service, &mut row);
+        let unwritten = self.promotions.get(service).cloned();
         if let Some((term, member)) = unwritten.filter(|(term, _)| *term > row.term) {
             row.term = term;
             row.primary = Some(member);
             row.reserved_from = row.reserved_from.max(term + 1);
-            if row.reserved_from + RESERVED_MIN > row.reserved_until {
+            if row.reserved_from + RESERVED_TERMS_MIN > row.reserved_until {
                 row.reserve(term);
             }
         }
@@ -232,7 +240,7 @@
         }
     }
 
-    fn assign(&self, service: &Name, row: &mut ServiceRow) {
+    fn assign_slots(&self, service: &Name, row: &mut ServiceRow) {
         let Some(settings) = self.services.get(service) else {
             return;
         };
@@ -266,12 +274,12 @@
         row.set_holders(&holders);
     }
 
-    pub(super) fn reserve(&mut self, service: &Name, highest: u64) {
+    pub(super) fn reserve_terms(&mut self, service: &Name, highest: u64) {
         let Some(known) = self.rows.get(service).map(|k| k.row.clone()) else {
             return;
         };
-        let is_own = known.value.delegate.as_ref() == Some(&self.own);
-        if !is_own || self.writing.contains(service) {
+        let is_delegate = known.value.delegate.as_ref() == Some(&self.own);
+        if !is_delegate || self.row_writes.contains(service) {
             return;
         }
         let mut row = known.value;
@@ -280,11 +288,11 @@
     }
 
     fn write_row(&mut self, service: &Name, expect_version: u64, row: ServiceRow) {
-        self.writing.insert(service.clone());
+        self.row_writes.insert(service.clone());
         let platform = self.parts.platform.clone();
         let service = service.clone();
         let change_id = ids::change_id(&self.own);
-        self.ask(async move {
+        self.spawn_task(async move {
             let key = keys::service(&service);
             let result = platform.write(&key, expect_version, &row, &change_id).await;
             let row = Box::new(row);
@@ -300,11 +308,11 @@
         &mut self,
         service: &Name,
         row: ServiceRow,
-        result: Result<Written<ServiceRow>>,
+        result: Result<WriteOutcome<ServiceRow>>,
     ) {
-        self.writing.remove(service);
+        self.row_writes.remove(service);
         match result {
-            Ok(Written::Done(version)) => {
+            Ok(WriteOutcome::Done(version)) => {
                 let reserved = row.reserved_from..row.reserved_until;
                 let row = Row {
                     version,
@@ -312,31 +320,31 @@
                     change_id: "".into(),
                 };
                 self.adopt_row(service, row.clone(), true);
-                self.tell_delegate(
+                self.notify_delegate(
                     service,
                     Event::Reserved {
                         from: reserved.start,
                         until: reserved.end,
                     },
                 );
-                self.tell_holders(service, &row);
+                self.push_row(service, &row);
             }
-            Ok(Written::Conflict(Some(row))) => {
+            Ok(WriteOutcome::Conflict(Some(row))) => {
                 log::info!(
                     target: "control", service = &**service, version = row.version;
-                    "row was written by another VM"
+                    "service row was written by another VM"
                 );
                 self.adopt_row(service, row, true);
             }
-            Ok(Written::Conflict(None)) => {
+            Ok(WriteOutcome::Conflict(None)) => {
                 self.rows.remove(service);
             }
             Err(error) => {
                 log::warn!(
                     target: "control", service = &**service, code = error.code().number();
-                    "row not written: {error}"
+                    "service row not written: {error}"
                 );
-                // Whether it was written is learnt by reading the row.
+                // Reading the row again shows whether it was written.
                 if let Some(known) = self.rows.get_mut(service) {
                     known.read_ms = 0;
                 }
@@ -344,8 +352,8 @@
         }
     }
 
-    /// Tells the holders and the delegate of a row.
-    pub(super) fn tell_holders(&mut self, service: &Name, row: &Row<ServiceRow>) {
+    /// Sends a row to the slot holders and the delegate that it names.
+    pub(super) fn push_row(&mut self, service: &Name, row: &Row<ServiceRow>) {
         let mut vms: BTreeSet<Name> = row.value.holders().into_iter().flatten().collect();
         vms.extend(row.value.delegate.clone());
         vms.remove(&self.own);
@@ -358,9 +366,9 @@
                 let (service, row) = (service.clone(), row.clone());
                 let peers = peers.clone();
                 async move {
-                    // Who misses it reads the row when it needs it.
+                    // A VM that misses it reads the row when it needs it.
                     let _ = peers
-                        .call(address, TELL_TIMEOUT, async |client, context| {
+                        .call(address, ROW_CALL_TIMEOUT, async |client, context| {
                             client
                                 .row_changed(context, service.clone(), row.clone())
                                 .await
--- a/src/control/node/services.rs
+++ b/src/control/node/services.rs
@@ -1,8 +1,9 @@
-//! Services: which slots and delegates run here, and the routes.
+//! Services: starts and stops the slots and delegates of this VM, and publishes
+//! the routes.
 
 use std::rc::Rc;
 
-use super::{Node, NodeMessage, OwnDelegate, OwnSlot};
+use super::{LocalDelegate, LocalSlot, Node, NodeMessage};
 use crate::{
     control::delegate::{DelegateContext, DelegateHandle},
     decide::{failover::Event, membership::Liveness},
@@ -16,12 +17,12 @@
     settings::ServiceSettings,
 };
 
-/// Longest wait for a delegate that is told of a doubt.
-const DOUBT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Longest wait for a delegate that is told that its primary is suspected.
+const SUSPECT_TIMEOUT: Duration = Duration::from_millis(300);
 
 impl Node {
-    /// Takes over the services of the configuration.
-    pub(super) fn take_site(&mut self) {
+    /// Applies the configuration in force to the services here.
+    pub(super) fn apply_site(&mut self) {
         let mut services = BTreeMap::new();
         for (name, settings) in &self.site.services {
             let known = self.services.get(name);
@@ -48,7 +49,8 @@
         self.publish();
     }
 
-    /// Starts or stops the slot and the delegate of a service as its row says.
+    /// Starts or stops the slot and the delegate of a service, as its row and the
+    /// configuration require.
     pub(super) fn reconcile(&mut self, service: &Name) {
         let settings = self.services.get(service).cloned();
         let known = self.rows.get(service).map(|k| &k.row.value);
@@ -63,7 +65,7 @@
         let Some(settings) = wanted else {
             if let Some(own) = self.slots.remove(service) {
                 decision!("placement", service = &**service; "slot given up");
-                // The task ends by this message; it may have ended already.
+                // Stops the task, which may have ended already.
                 let _ = own.stop.send(());
             }
             return;
@@ -85,7 +87,7 @@
         self.slots.insert(service.clone(), own);
     }
 
-    fn start_slot(&self, service: &Name, settings: Arc<ServiceSettings>) -> OwnSlot {
+    fn start_slot(&self, service: &Name, settings: Arc<ServiceSettings>) -> LocalSlot {
         let (handle, mailbox) = SlotHandle::new();
         let (stop, stopped) = flume::bounded(1);
         let context = SlotContext {
@@ -97,7 +99,7 @@
         };
         let task = slot::run(context, handle.clone(), mailbox, stopped);
         compio::runtime::spawn(task).detach();
-        OwnSlot {
+        LocalSlot {
             handle,
             stop,
             settings,
@@ -129,15 +131,17 @@
         };
         let handle = DelegateHandle::start(context, reserved);
         self.delegates
-            .insert(service.clone(), OwnDelegate { handle, settings });
+            .insert(service.clone(), LocalDelegate { handle, settings });
     }
 
-    /// Publishes the routes that are known.
+    /// Publishes the routes to all services, and whether a configuration is in
+    /// force.
     pub(super) fn publish(&self) {
         let mut table = RouteTable::new();
         for (service, settings) in &self.services {
             let Some(known) = self.rows.get(service) else {
-                // A service without a row has no route yet; callers ask.
+                // Without a row the route has no holders; a caller's request for it
+                // reads the row.
                 let route = Route {
                     settings: settings.clone(),
                     slot: None,
@@ -157,7 +161,7 @@
         self.parts.ready.send_replace(self.head.is_some());
     }
 
-    /// Reachable holders, nearest first.
+    /// Working slot holders other than this VM, those in this zone first.
     fn holders(&self, vms: &[Option<Name>]) -> Vec<Holder> {
         let own_zone = &self.parts.settings.zone;
         let peers = self.membership.peers();
@@ -177,27 +181,28 @@
         holders
     }
 
-    /// A caller needs a route that the table lacks or that has failed.
+    /// Reads a service's row for a caller that lacks its route or whose route has
+    /// failed.
     pub(super) fn locate(&mut self, locate: RouteRequest) {
         if self.head.is_none() {
             self.waiting_for_site.push(locate);
             return;
         }
         if !self.services.contains_key(&locate.service) {
-            // Unknown here; the reply makes the caller look and be refused.
+            // The caller looks at the routes again and is refused.
             let _ = locate.reply.send(());
             return;
         }
         let service = locate.service.clone();
-        self.reading
+        self.row_reads
             .entry(service.clone())
             .or_default()
             .push(locate.reply);
         self.read_row(&service);
     }
 
-    /// Answers the callers that waited for a first configuration.
-    pub(super) fn release_waiting(&mut self) {
+    /// Answers the callers that waited for the first configuration.
+    pub(super) fn answer_waiting(&mut self) {
         for locate in std::mem::take(&mut self.waiting_for_site) {
             match self.head {
                 Some(_) => self.locate(locate),
@@ -208,10 +213,11 @@
         }
     }
 
-    /// A slot on this VM lost its primary: the delegate should look at once.
+    /// Tells the delegate of a service that a slot here lost its primary, so that
+    /// it probes the primary at once.
     pub(super) fn primary_failed(&mut self, service: &Name) {
         if self.delegates.contains_key(service) {
-            self.tell_delegate(service, Event::TrafficFailed);
+            self.notify_delegate(service, Event::TrafficFailed);
             return;
         }
         let known = self.rows.get(service);
@@ -222,24 +228,24 @@
         };
         let peers = self.peers.clone();
         let service = service.clone();
-        self.ask(async move {
-            let heard = peers
-                .call(address, DOUBT_TIMEOUT, async |client, context| {
+        self.spawn_task(async move {
+            let answer = peers
+                .call(address, SUSPECT_TIMEOUT, async |client, context| {
                     client.doubt_primary(context, service.clone()).await
                 })
                 .await;
-            let is_heard = heard.is_ok();
-            NodeMessage::DelegateAsked { vm, is_heard }
+            let has_answered = answer.is_ok();
+            NodeMessage::DelegateNotified { vm, has_answered }
         });
     }
 
-    /// A delegate that was told of a failed primary has answered, or not. One
-    /// that has not may be lost with the primary: it is probed at once, since
-    /// the probe that is due by chance may come seconds later.
-    pub(super) fn delegate_asked(&mut self, vm: &Name, is_heard: bool) {
+    /// Probes a delegate that did not answer when it was told of a failed primary.
+    /// It may be lost together with the primary, and the random probes may reach
+    /// it only seconds later.
+    pub(super) fn delegate_notified(&mut self, vm: &Name, has_answered: bool) {
         let peer = self.membership.peers().get(vm);
         let is_alive = peer.is_some_and(|peer| peer.liveness == Liveness::Alive);
-        if is_heard || !is_alive {
+        if has_answered || !is_alive {
             return;
         }
         decision!("membership", peer = &**vm; "delegate does not answer: probing it");
@@ -264,18 +270,18 @@
         }
     }
 
-    /// Sends the delegate of a service an event.
-    pub(super) fn tell_delegate(&self, service: &Name, event: Event) {
+    /// Sends an event to the delegate of a service, if it runs here.
+    pub(super) fn notify_delegate(&self, service: &Name, event: Event) {
         if let Some(own) = self.delegates.get(service) {
             own.handle.send(event);
         }
     }
 
-    /// A message that looks at a row again.
+    /// Reads a service's row; the result comes back as a message.
     pub(super) fn read_row(&mut self, service: &Name) {
         let platform = self.parts.platform.clone();
         let service = service.clone();
-        self.ask(async move {
+        self.spawn_task(async move {
             let key = crate::control::keys::service(&service);
             let result = platform.read(&key).await;
             NodeMessage::RowRead { service, result }
--- a/src/control/operate.rs
+++ b/src/control/operation.rs
@@ -1,4 +1,5 @@
-//! Group operations of the delegate on one member.
+//! Operations of a delegate on one member, sent as SQL functions of the
+//! replication group.
 
 use crate::{
     decide::member::MemberStatus,
@@ -11,17 +12,17 @@
     },
 };
 
-/// Longest wait for an operation.
+/// Longest time for an operation, connecting included.
 const OPERATION_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// An operation on a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Operation {
-    /// Ask for its report.
+    /// Ask the member for its status.
     Probe,
-    /// Raise its term.
+    /// Raise the member's term.
     Raise(u64),
-    /// Make it the primary of a term raised before.
+    /// Make the member the primary of a term that was raised before.
     Promote(u64),
 }
 
@@ -35,13 +36,14 @@
     }
 }
 
-/// Runs operations on one member in order and tells each result.
+/// Runs operations on one member in order and reports each result, `None` for
+/// one that failed.
 ///
-/// Probes that wait behind another one are left out.
-pub async fn operate(
+/// A probe that has other operations queued behind it is skipped.
+pub async fn run_operations(
     options: ConnectOptions,
     operations: flume::Receiver<Operation>,
-    tell: impl Fn(Operation, Option<MemberStatus>),
+    report: impl Fn(Operation, Option<MemberStatus>),
 ) {
     let mut connection = None;
     while let Ok(operation) = operations.recv_async().await {
@@ -49,8 +51,8 @@
         if is_superseded {
             continue;
         }
-        let run = run(&mut connection, &options, operation);
-        let result = compio::time::timeout(OPERATION_TIMEOUT, run).await;
+        let attempt = run(&mut connection, &options, operation);
+        let result = compio::time::timeout(OPERATION_TIMEOUT, attempt).await;
         let status = match result {
             Ok(Ok(status)) => Some(status),
             _ => {
@@ -58,7 +60,7 @@
                 None
             }
         };
-        tell(operation, status);
+        report(operation, status);
     }
 }
 
--- a/src/control/peer.rs
+++ b/src/control/peer.rs
@@ -1,4 +1,4 @@
-//! Calls between VMs.
+//! The calls between VMs.
 
 use serde::{Deserialize, Serialize};
 
@@ -13,75 +13,76 @@
     store::Row,
 };
 
-/// A probe: it shows that the sender lives and carries what changed.
+/// A membership probe: it shows that the sender is alive and carries recent
+/// membership changes.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Ping {
-    /// Sender.
+    /// Sending VM.
     pub from: Name,
-    /// Its incarnation.
+    /// Incarnation of the sender.
     pub incarnation: u64,
-    /// Changes of the membership.
+    /// Membership changes.
     pub changes: Vec<Change>,
     /// Configuration version in force at the sender.
     pub config_version: Option<u64>,
 }
 
-/// Answer to a probe; the same of the other side.
+/// Answer to a probe: the same fields, from the probed VM.
 pub type Pong = Ping;
 
-/// A new configuration version, with what it changed.
+/// A new configuration version with the change that created it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ConfigUpdate {
     /// The head row.
     pub head: Head,
-    /// The change that made it.
+    /// The change that created the version.
     pub change: SiteChange,
 }
 
-/// A whole configuration.
+/// A complete configuration.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct WholeSite {
+pub struct FullConfig {
     /// The head row.
     pub head: Head,
     /// The configuration.
     pub site: SiteSettings,
 }
 
-/// Answer to an order.
+/// Answer to an operator's order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OrderAnswer {
-    /// It was taken up.
+    /// The VM carries it out.
     Accepted,
-    /// This VM can't take it up.
+    /// The VM can't carry it out, for this reason.
     Refused(String),
 }
 
-/// Calls that VMs, and the command-line tool, make to a VM.
+/// Calls that other VMs and the command-line tool make to a VM.
 #[tarpc::service]
 pub trait Peer {
-    /// Probes.
+    /// Probes this VM.
     async fn ping(ping: Ping) -> Option<Pong>;
-    /// Probes a third VM in the caller's stead.
+    /// Probes another VM on behalf of the caller.
     async fn probe(vm: Name) -> bool;
-    /// All VMs that this one knows.
+    /// All VMs that this one knows, as membership changes.
     async fn members() -> Vec<Change>;
-    /// Tells of a configuration version; the version in force afterwards.
+    /// Delivers a configuration version; answers the version in force afterwards.
     async fn push(news: ConfigUpdate) -> Option<u64>;
-    /// The changes after a version, if they are still known.
+    /// The changes after a version, if this VM still keeps them.
     async fn changes(after: u64) -> Option<(Head, Vec<SiteChange>)>;
-    /// The whole configuration.
-    async fn site() -> Option<WholeSite>;
+    /// The complete configuration.
+    async fn site() -> Option<FullConfig>;
     /// The row of a service as this VM knows it.
     async fn row(service: Name) -> Option<Row<ServiceRow>>;
-    /// Tells of a newer row of a service.
+    /// Delivers a newer row of a service.
     async fn row_changed(service: Name, row: Row<ServiceRow>);
-    /// Whether this VM reaches a member as a primary.
+    /// Whether this VM reaches a member and sees it as the primary.
     async fn reaches_primary(service: Name, member: Name) -> bool;
-    /// Tells the delegate of a service that its primary seems to fail.
+    /// Tells the delegate of a service that requests to its primary fail.
     async fn doubt_primary(service: Name);
-    /// What this VM reports.
+    /// The status of this VM.
     async fn status() -> Option<VmStatus>;
-    /// Orders a change of primary.
+    /// Orders the delegate of a service to change the primary.
     async fn order_failover(service: Name, member: Name) -> OrderAnswer;
     /// Orders a graceful stop.
     async fn drain() -> OrderAnswer;
--- a/src/control/peer_clients.rs
+++ b/src/control/peer_clients.rs
@@ -1,4 +1,4 @@
-//! Clients of other VMs, kept for reuse.
+//! Clients for calls to other VMs, kept for reuse.
 
 use std::{cell::RefCell, net::SocketAddr, rc::Rc};
 
@@ -15,11 +15,11 @@
 use super::peer::PeerClient;
 use crate::{metrics::label, prelude::*};
 
-/// Longest message between VMs, in bytes.
+/// Largest message between VMs, in bytes.
 pub const MESSAGE_MAX_BYTES: usize = 64 << 20;
-/// Longest time to reach a VM.
+/// Longest time to connect to a VM.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Clients kept.
+/// Most clients kept.
 const CLIENTS_MAX: usize = 64;
 
 /// Error of a call to another VM.
@@ -33,16 +33,17 @@
 /// Result of this module.
 pub type Result<T> = std::result::Result<T, PeerError>;
 
-/// Wraps a socket for calls; `count` is told of the bytes in and out.
+/// Wraps a socket as a transport for calls; `byte_count` counts the bytes in
+/// both directions.
 pub fn transport<In, Out>(
     stream: TcpStream,
-    count: ByteCount,
+    byte_count: ByteCount,
 ) -> impl tarpc::Transport<Out, In, TransportError = std::io::Error> + 'static
 where
     In: for<'de> serde::Deserialize<'de> + Unpin + 'static,
     Out: serde::Serialize + Unpin + 'static,
 {
-    let (received, sent) = (count.clone(), count);
+    let (received, sent) = (byte_count.clone(), byte_count);
     let stream = AsyncStream::new(stream).compat();
     let stream = InspectReader::new(stream, move |bytes: &[u8]| received.add("in", bytes));
     let stream = InspectWriter::new(stream, move |bytes: &[u8]| sent.add("out", bytes));
@@ -52,12 +53,12 @@
     tarpc::serde_transport::new(framed, Json::default())
 }
 
-/// Counts the bytes of calls.
+/// Counts the bytes of calls by direction; the default counts nothing.
 #[derive(Clone, Default)]
 pub struct ByteCount(Option<Counter<u64>>);
 
 impl ByteCount {
-    /// Counts with a metric.
+    /// Adds the bytes to a metric.
     pub fn new(counter: Counter<u64>) -> ByteCount {
         ByteCount(Some(counter))
     }
@@ -69,30 +70,31 @@
     }
 }
 
-/// A context for a call that may take `timeout`.
-pub fn within(timeout: Duration) -> context::Context {
+/// Context of a call that may take up to `timeout`.
+pub fn context_with_timeout(timeout: Duration) -> context::Context {
     let mut context = context::current();
     context.deadline = Instant::now() + timeout;
     context
 }
 
-/// Clients of other VMs.
+/// Clients of other VMs by address.
 #[derive(Clone, Default)]
 pub struct PeerClients {
-    count: ByteCount,
+    byte_count: ByteCount,
     clients: Rc<RefCell<BTreeMap<SocketAddr, PeerClient>>>,
 }
 
 impl PeerClients {
-    /// Creates clients whose bytes are counted.
-    pub fn counting(count: ByteCount) -> PeerClients {
+    /// Creates an empty set of clients that count their bytes.
+    pub fn new(byte_count: ByteCount) -> PeerClients {
         PeerClients {
-            count,
+            byte_count,
             clients: Rc::default(),
         }
     }
 
-    /// Makes a call; a client whose connection broke is replaced.
+    /// Calls the VM at `address`. After a failed call the client is dropped, so
+    /// that the next call connects again.
     ///
     /// # Errors
     ///
@@ -104,12 +106,12 @@
         call: impl AsyncFn(PeerClient, context::Context) -> std::result::Result<T, client::RpcError>,
     ) -> Result<T> {
         let error = |text: String| PeerError { address, text };
-        let known = self.clients.borrow().get(&address).cloned();
-        let client = match known {
+        let cached = self.clients.borrow().get(&address).cloned();
+        let client = match cached {
             Some(client) => client,
             None => self.connect(address).await?,
         };
-        match call(client, within(timeout)).await {
+        match call(client, context_with_timeout(timeout)).await {
             Ok(answer) => Ok(answer),
             Err(failure) => {
                 self.clients.borrow_mut().remove(&address);
@@ -127,11 +129,11 @@
         stream.set_nodelay(true).map_err(|e| error(e.to_string()))?;
         let new = PeerClient::new(
             client::Config::default(),
-            transport(stream, self.count.clone()),
+            transport(stream, self.byte_count.clone()),
         );
         let dispatch = new.dispatch;
         compio::runtime::spawn(async move {
-            // A broken connection shows as failed calls.
+            // Calls on a broken connection fail, which drops the client.
             let _ = dispatch.await;
         })
         .detach();
@@ -144,7 +146,7 @@
     }
 }
 
-/// Executes the futures of a server's requests on the runtime of this thread.
+/// Spawns the future of each request of a server on this thread's runtime.
 pub async fn spawn_each<F>(requests: impl futures::Stream<Item = F>)
 where
     F: Future<Output = ()> + 'static,
--- a/src/control/peer_server.rs
+++ b/src/control/peer_server.rs
@@ -1,4 +1,4 @@
-//! The side of a VM that answers calls: it passes them on to the control task.
+//! The server side of calls between VMs: it hands them to the control task.
 
 use compio::net::TcpListener;
 use futures::channel::oneshot;
@@ -9,7 +9,7 @@
 
 use super::{
     node::NodeMessage,
-    peer::{ConfigUpdate, OrderAnswer, Peer, Ping, Pong, WholeSite},
+    peer::{ConfigUpdate, FullConfig, OrderAnswer, Peer, Ping, Pong},
     peer_clients::{ByteCount, spawn_each, transport},
     service_row::ServiceRow,
     status::VmStatus,
@@ -23,10 +23,10 @@
     store::Row,
 };
 
-/// Pause after a connection could not be accepted.
+/// Pause after a connection that could not be accepted.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Answers calls for one VM.
+/// Answers calls to this VM.
 #[derive(Clone)]
 pub struct PeerServer {
     /// Mailbox of the control task.
@@ -34,15 +34,16 @@
 }
 
 /// Accepts connections of other VMs and of the command-line tool.
-pub async fn accept(listener: TcpListener, server: PeerServer, count: ByteCount) {
+pub async fn accept(listener: TcpListener, server: PeerServer, byte_count: ByteCount) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             compio::time::sleep(ACCEPT_PAUSE).await;
             continue;
         };
-        // Without it small answers would wait for the other side's receipt.
+        // Nagle's algorithm would hold small answers back until the other side
+        // acknowledges the previous ones.
         let _ = stream.set_nodelay(true);
-        let channel = BaseChannel::with_defaults(transport(stream, count.clone()));
+        let channel = BaseChannel::with_defaults(transport(stream, byte_count.clone()));
         let requests = channel.execute(server.clone().serve());
         compio::runtime::spawn(spawn_each(requests)).detach();
     }
@@ -62,7 +63,9 @@
     }
 
     async fn probe(self, _: Context, vm: Name) -> bool {
-        let answer = self.ask(|reply| NodeMessage::ProbeFor { vm, reply }).await;
+        let answer = self
+            .ask(|reply| NodeMessage::IndirectProbe { vm, reply })
+            .await;
         answer.unwrap_or(false)
     }
 
@@ -72,8 +75,10 @@
     }
 
     async fn push(self, _: Context, news: ConfigUpdate) -> Option<u64> {
-        let news = Box::new(news);
-        let answer = self.ask(|reply| NodeMessage::News { news, reply }).await;
+        let update = Box::new(news);
+        let answer = self
+            .ask(|reply| NodeMessage::ConfigPushed { update, reply })
+            .await;
         answer.flatten()
     }
 
@@ -84,8 +89,8 @@
         answer.flatten()
     }
 
-    async fn site(self, _: Context) -> Option<WholeSite> {
-        let answer = self.ask(|reply| NodeMessage::Site { reply }).await;
+    async fn site(self, _: Context) -> Option<FullConfig> {
+        let answer = self.ask(|reply| NodeMessage::FullConfig { reply }).await;
         answer.flatten()
     }
 
@@ -95,8 +100,8 @@
     }
 
     async fn row_changed(self, _: Context, service: Name, row: Row<ServiceRow>) {
-        // A stopped control task needs no rows.
-        let _ = self.node.send(NodeMessage::RowHeard { service, row });
+        // Nothing is lost if the control task has stopped.
+        let _ = self.node.send(NodeMessage::RowPushed { service, row });
     }
 
     async fn reaches_primary(self, _: Context, service: Name, member: Name) -> bool {
@@ -111,8 +116,8 @@
     }
 
     async fn doubt_primary(self, _: Context, service: Name) {
-        // A stopped control task is no delegate any more.
-        let _ = self.node.send(NodeMessage::DoubtHeard(service));
+        // A VM whose control task has stopped is no delegate.
+        let _ = self.node.send(NodeMessage::PrimarySuspected(service));
     }
 
     async fn status(self, _: Context) -> Option<VmStatus> {
--- a/src/control/service_row.rs
+++ b/src/control/service_row.rs
@@ -1,16 +1,16 @@
-//! The row of a service in the table.
+//! The row of a service in the table service: its delegate, terms and slots.
 
 use serde::{Deserialize, Serialize};
 
 use crate::prelude::*;
 
-/// Terms that one write of the row reserves.
+/// Number of terms that a delegate reserves with one write of the row.
 pub const RESERVED_TERMS: u64 = 16;
 
 /// A slot and its holder.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SlotRow {
-    /// VM that holds it.
+    /// VM that holds the slot.
     pub vm: Option<Name>,
     /// Raised whenever the holder changes.
     pub generation: u64,
@@ -19,7 +19,7 @@
 /// The row of a service.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceRow {
-    /// VM that watches the primary and orders promotions.
+    /// VM that monitors the primary and promotes members.
     pub delegate: Option<Name>,
     /// Term of the last promotion.
     pub term: u64,
@@ -27,14 +27,15 @@
     pub primary: Option<Name>,
     /// First term reserved for the delegate.
     pub reserved_from: u64,
-    /// First term that is not reserved for anyone yet.
+    /// End of the reserved terms: the first term that is still free.
     pub reserved_until: u64,
     /// Slots.
     pub slots: Vec<SlotRow>,
 }
 
 impl ServiceRow {
-    /// Reserves a block of terms above `highest` and above every earlier block.
+    /// Reserves a block of terms above `highest`, above the term of the row and
+    /// above every block reserved before.
     pub fn reserve(&mut self, highest: u64) {
         self.reserved_from = self.reserved_until.max(highest + 1).max(self.term + 1);
         self.reserved_until = self.reserved_from + RESERVED_TERMS;
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Whether a VM holds a slot.
+    /// Whether a VM holds a slot of the service.
     pub fn is_holder(&self, vm: &str) -> bool {
         let mut holders = self.slots.iter().filter_map(|s| s.vm.as_deref());
         holders.any(|holder| holder == vm)
--- a/src/control/status.rs
+++ b/src/control/status.rs
@@ -1,4 +1,4 @@
-//! What a VM reports to operators.
+//! The status of a VM, as operators see it.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,16 +7,16 @@
     prelude::*,
 };
 
-/// A member as a slot sees it.
+/// A member as seen from a slot.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MemberReport {
     /// Name.
     pub name: Name,
-    /// Its last report.
+    /// Status that the member reported last.
     pub status: Option<MemberStatus>,
-    /// Whether it gets work.
+    /// Whether the slot sends requests to it.
     pub is_usable: bool,
-    /// Requests that run on it now.
+    /// Requests running on it now.
     pub in_use: usize,
 }
 
@@ -27,13 +27,13 @@
     pub service: Name,
     /// Members.
     pub members: Vec<MemberReport>,
-    /// Requests that wait.
+    /// Requests waiting for a connection.
     pub waiting: usize,
-    /// Connections open.
+    /// Open connections.
     pub open: usize,
 }
 
-/// A VM's report.
+/// Status of a VM.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct VmStatus {
     /// Name.
@@ -48,14 +48,14 @@
     pub is_draining: bool,
     /// Slots.
     pub slots: Vec<SlotStatus>,
-    /// Services it is the delegate of, with the phase of the failover.
+    /// Services that the VM is the delegate of, with the phase of the failover.
     pub delegate_of: BTreeMap<Name, Name>,
-    /// Other VMs and their state.
+    /// Other VMs with their liveness.
     pub peers: BTreeMap<Name, Name>,
 }
 
 impl MemberReport {
-    /// Summarizes what a slot knows of a member.
+    /// Summarizes a slot's view of a member.
     pub fn new(view: &MemberView) -> MemberReport {
         MemberReport {
             name: view.name.clone().unwrap_or_else(|| "?".into()),
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -1,31 +1,31 @@
-//! The client.
+//! HTTP client of the platform's services.
 
 use std::net::SocketAddr;
 
 use serde::{Serialize, de::DeserializeOwned};
 
-use super::{ListedVm, Result, Row, StoreError, Written};
+use super::{ListedVm, Result, Row, StoreError, WriteOutcome};
 use crate::{
     http::{self, HttpAnswer},
     prelude::*,
 };
 
-/// Longest time of one call.
+/// Longest time for one call.
 const CALL_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// Reads that try to find out whether a write took effect.
+/// Number of reads that try to find out whether a write took effect.
 const RESOLVE_ATTEMPTS: u32 = 3;
-/// Pause between them.
+/// Pause before each of these reads.
 const RESOLVE_PAUSE: Duration = Duration::from_millis(200);
 
 const OK: u16 = 200;
 const NOT_FOUND: u16 = 404;
 const CONFLICT: u16 = 409;
 
-/// Client of the platform's services.
+/// Client of the platform's table service, object store and VM list.
 #[derive(Clone)]
 pub struct StoreClient {
     http: cyper::Client,
-    base: Arc<str>,
+    base_url: Arc<str>,
 }
 
 #[derive(Serialize)]
@@ -44,7 +44,7 @@
     pub fn new(address: SocketAddr) -> Result<StoreClient> {
         Ok(StoreClient {
             http: cyper::Client::new().map_err(StoreError::unavailable)?,
-            base: format!("http://{address}").into(),
+            base_url: format!("http://{address}").into(),
         })
     }
 
@@ -70,20 +70,22 @@
         json(&self.get(&format!("tables?prefix={prefix}")).await?)
     }
 
-    /// Writes a row if it still has `expect_version`; zero means no row.
+    /// Writes a row if it still has version `expect_version`; zero expects that
+    /// there is no row.
     ///
-    /// A lost answer is resolved by reading the row and comparing change ids.
+    /// If the answer is lost, the row is read again and its change id tells
+    /// whether the write took effect.
     ///
     /// # Errors
     ///
-    /// Returns [`StoreError::Unknown`] when that does not tell.
+    /// Returns [`StoreError::Unknown`] when that can't be found out.
     pub async fn write<T: Serialize + DeserializeOwned>(
         &self,
         key: &str,
         expect_version: u64,
         value: &T,
         change_id: &str,
-    ) -> Result<Written<T>> {
+    ) -> Result<WriteOutcome<T>> {
         let body = WriteBody {
             expect_version,
             value,
@@ -92,9 +94,9 @@
         let body = serde_json::to_vec(&body).map_err(bad_answer)?;
         let error = match self.put(&format!("table/{key}"), body).await {
             Ok(answer) if answer.status == CONFLICT => {
-                return Ok(Written::Conflict(json(&answer)?));
+                return Ok(WriteOutcome::Conflict(json(&answer)?));
             }
-            Ok(answer) => return Ok(Written::Done(json::<Row<T>>(&answer)?.version)),
+            Ok(answer) => return Ok(WriteOutcome::Done(json::<Row<T>>(&answer)?.version)),
             Err(error) => error,
         };
         self.resolve(key, expect_version, change_id, &error).await
@@ -129,13 +131,14 @@
         json(&self.get("vms").await?)
     }
 
+    /// Finds out whether a write whose answer was lost took effect.
     async fn resolve<T: DeserializeOwned>(
         &self,
         key: &str,
         expect_version: u64,
         change_id: &str,
         error: &StoreError,
-    ) -> Result<Written<T>> {
+    ) -> Result<WriteOutcome<T>> {
         for _ in 0..RESOLVE_ATTEMPTS {
             compio::time::sleep(RESOLVE_PAUSE).await;
             let Ok(row) = self.read::<T>(key).await else {
@@ -144,13 +147,13 @@
             let version = row.as_ref().map_or(0, |row| row.version);
             let is_ours = row.as_ref().is_some_and(|row| &*row.change_id == change_id);
             if is_ours {
-                return Ok(Written::Done(version));
+                return Ok(WriteOutcome::Done(version));
             }
             if version == expect_version + 1 {
-                return Ok(Written::Conflict(row));
+                return Ok(WriteOutcome::Conflict(row));
             }
-            // At the old version the write may still be on its way; at a
-            // later one it may have been made and written over.
+            // At the old version the write may still be in flight; at a later one
+            // it may have taken effect and been overwritten.
         }
         Err(StoreError::Unknown {
             text: error.to_string(),
@@ -158,13 +161,13 @@
     }
 
     async fn get(&self, path: &str) -> Result<HttpAnswer> {
-        let url = format!("{}/{path}", self.base);
+        let url = format!("{}/{path}", self.base_url);
         let request = self.http.get(url).map_err(StoreError::unavailable)?;
         self.send(request).await
     }
 
     async fn put(&self, path: &str, body: Vec<u8>) -> Result<HttpAnswer> {
-        let url = format!("{}/{path}", self.base);
+        let url = format!("{}/{path}", self.base_url);
         let request = self.http.put(url).map_err(StoreError::unavailable)?;
         let request = request
             .header("content-type", "application/json")
--- a/src/store/error.rs
+++ b/src/store/error.rs
@@ -5,19 +5,20 @@
 /// Why a call to the platform failed.
 #[derive(Debug, derive_more::Display, derive_more::Error)]
 pub enum StoreError {
-    /// It did not answer; nothing was changed by a read.
+    /// It did not answer, or answered with an error status; no row was changed.
     #[display("the platform does not answer: {text}")]
     Unavailable {
         /// Detail.
         text: String,
     },
-    /// A write got no answer and re-reading did not tell either.
+    /// A write got no answer, and reading the row again did not show whether it
+    /// took effect.
     #[display("it is not known whether the platform made the change: {text}")]
     Unknown {
         /// Detail.
         text: String,
     },
-    /// An answer can't be read.
+    /// Its answer can't be decoded.
     #[display("the platform's answer can't be read: {text}")]
     BadAnswer {
         /// Detail.
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -7,5 +7,5 @@
 
 pub use client::StoreClient;
 pub use error::{Result, StoreError};
-pub use row::{Row, Written};
+pub use row::{Row, WriteOutcome};
 pub use vm::ListedVm;
--- a/src/store/vm.rs
+++ b/src/store/vm.rs
@@ -1,4 +1,4 @@
-//! VMs as the platform lists them.
+//! Entries of the platform's VM list.
 
 use std::net::SocketAddr;
 
@@ -6,7 +6,7 @@
 
 use crate::prelude::*;
 
-/// A VM in the platform's list, which lags.
+/// A VM in the platform's list, which lags behind the VMs' real state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedVm {
     /// Name.
@@ -19,7 +19,7 @@
     pub internal: SocketAddr,
     /// Address for calls between VMs.
     pub peer: SocketAddr,
-    /// Set while the VM is about to be taken away.
+    /// Set once the platform is about to remove the VM.
     #[serde(default)]
     pub leaving: bool,
 }
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -1,4 +1,5 @@
-//! Configuration through separate processes: races, spread, outages.
+//! Configuration changes across separate processes: conflicts, distribution and
+//! outages of the platform.
 
 use standin::{
     bench::{Bench, BenchSettings},
@@ -55,7 +56,7 @@
         write(&bench, "a.yaml", "queue_deadline_ms: 4000"),
         write(&bench, "b.yaml", "queue_deadline_ms: 5000"),
     ];
-    // Slow enough that both read the same version before either writes.
+    // The delay makes both read the same version before either writes.
     bench.set_faults(&Faults {
         slow_ms: 300,
         ..Faults::default()
@@ -81,8 +82,8 @@
 #[test]
 fn a_lost_answer_is_resolved_by_the_change_id() {
     let bench = start(1);
-    // The objects' answers and the head row's: the effect of each stands.
     let file = write(&bench, "next.yaml", "queue_deadline_ms: 4000");
+    // The first write takes effect, but its answer is lost.
     bench.set_faults(&Faults {
         lose_answers: 1,
         ..Faults::default()
@@ -90,7 +91,8 @@
     let first = bench.tool(&["config", "apply", "--base", &file, "--wait-s", "0"]);
     let output = match first {
         Ok(output) => output,
-        // The object's answer was lost: nothing was accepted yet.
+        // The answer to an object's write was lost, before the head row was
+        // written: nothing is accepted yet.
         Err((_, text)) => {
             assert!(text.contains("FK601"), "{text}");
             bench
--- a/tests/failover.rs
+++ b/tests/failover.rs
@@ -1,5 +1,5 @@
-//! Failover through separate processes: what callers see while a primary
-//! fails, and that nothing acknowledged is lost or doubled.
+//! Failover across separate processes: what callers see while a primary fails,
+//! and that no acknowledged write is lost or duplicated.
 
 mod common;
 
@@ -17,10 +17,12 @@
 
 const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The stated bound of a change of primary.
+/// Documented limit for the time without an acknowledged write during a change
+/// of primary.
 const GAP_MAX: Duration = Duration::from_secs(8);
 
-/// Causes a fault under load and checks every promise.
+/// Injects a fault under load and checks that another member takes over in time
+/// and that the history of the writes has no violation.
 fn fails_over(fault: PrimaryFault, platform_down: bool) {
     let settings = BenchSettings::builder().proxies(5).connect_ms(12).build();
     let mut bench = Bench::start(settings);
@@ -42,14 +44,15 @@
     a_killed_primary_is_replaced_without_the_platform(PrimaryFault::Kill, true),
 }
 
-/// A replica that is far behind follows the second primary for a moment; then
-/// it must not win over the first one, which holds all that was acknowledged.
+/// A lagging replica must not be promoted because it has the newer term: it
+/// follows the second primary for a moment, then that one fails too, while the
+/// first primary is back and holds every acknowledged write.
 #[test]
 fn two_failovers_in_a_row_lose_nothing() {
     let settings = BenchSettings::builder().proxies(3).build();
     let bench = Bench::start(settings);
     create_table(&bench);
-    wait_until("the third holds the table", TIMEOUT, || {
+    wait_until("the third member has the table", TIMEOUT, || {
         let client = bench.endpoints[0][2].connect();
         client.is_some_and(|mut c| c.simple_query("SELECT count(*) FROM entries").is_ok())
     });
@@ -66,37 +69,37 @@
         prefix: "w".into(),
     };
     let writers = Writers::start(&addresses, &bench.service(0), &plan);
-    wait_until("writes land", TIMEOUT, || writers.done() >= 100);
+    wait_until("writes are acknowledged", TIMEOUT, || writers.done() >= 100);
     let members = &bench.endpoints[0];
     let term = |member: usize| members[member].status().map_or(0, |s| s.term);
     members[0].freeze();
-    wait_until("the second leads", TIMEOUT, || {
+    wait_until("the second member is the primary", TIMEOUT, || {
         members[1].status().is_some_and(|s| s.is_primary)
     });
-    wait_until("the third follows it", TIMEOUT, || {
+    wait_until("the third member follows it", TIMEOUT, || {
         let status = members[2].status();
         term(2) == term(1) && status.is_some_and(|s| s.primary_seen_ms < 200)
     });
-    let before = term(1);
+    let term_before = term(1);
     members[1].freeze();
     members[0].thaw();
-    wait_until("the first or the third leads", TIMEOUT, || {
-        let leads = |i: usize| {
+    wait_until("the first or the third is the primary", TIMEOUT, || {
+        let is_primary = |i: usize| {
             members[i]
                 .status()
-                .is_some_and(|s| s.is_primary && s.term > before)
+                .is_some_and(|s| s.is_primary && s.term > term_before)
         };
-        leads(0) || leads(2)
+        is_primary(0) || is_primary(2)
     });
     let log = runtime.block_on(writers.stop());
     members[1].thaw();
-    let leader = bench.primary(0).unwrap();
-    let violations = check(&log.history(stored(&bench, leader)));
-    assert_eq!(violations, Vec::new(), "member {leader} leads");
+    let primary = bench.primary(0).unwrap();
+    let violations = check(&log.history(stored(&bench, primary)));
+    assert_eq!(violations, Vec::new(), "member {primary} is the primary");
 }
 
-/// A write that is run again after its primary was replaced gives its caller
-/// one answer, with nothing left of the first attempt's.
+/// A write that is retried after its primary was replaced gives the caller
+/// exactly one answer, with nothing from the first attempt.
 #[test]
 fn a_repeated_write_has_one_answer() {
     let bench = Bench::start(BenchSettings::builder().proxies(3).build());
@@ -107,12 +110,13 @@
     bench.endpoints[0][0].cut(true);
     let row = client.query_one(&insert, &[&"once"]).unwrap();
     assert_eq!(row.get::<_, String>(0), "once");
-    let leader = bench.primary_without(0, 0).unwrap();
-    assert_eq!(stored(&bench, leader), ["once"]);
+    let primary = bench.primary_without(0, 0).unwrap();
+    assert_eq!(stored(&bench, primary), ["once"]);
 }
 
-/// The checker sees what the confirmation is for: where the primary's answer
-/// is enough, a primary cut off from its peers loses acknowledged writes.
+/// Shows that the checker detects lost writes and why commits are confirmed:
+/// with `acknowledge: primary`, a primary that is cut off from its peers loses
+/// acknowledged writes.
 #[test]
 fn without_confirmation_acknowledged_writes_are_lost() {
     let settings = BenchSettings::builder()
