--- a/src/control/delegate.rs
+++ b/src/control/delegate.rs
@@ -151,17 +151,17 @@
     fn execute(&self, action: Action) {
         let service = self.context.service.clone();
         match action {
-            Action::Probe(member) => self.start(member, Operation::Probe),
-            Action::Raise { member, term } => self.start(member, Operation::Raise(term)),
+            Action::Probe(member) => self.start_operation(member, Operation::Probe),
+            Action::Raise { member, term } => self.start_operation(member, Operation::Raise(term)),
             Action::Promote { member, term } => {
                 log::info!(
                     target: "placement", service = &*service,
                     member = &*self.member_names[member], term = term, reason = "most_advanced";
                     "promoting"
                 );
-                self.start(member, Operation::Promote(term));
+                self.start_operation(member, Operation::Promote(term));
             }
-            Action::CheckReachability(member) => self.notify_node(NodeMessage::AskHolders {
+            Action::CheckReachability(member) => self.notify_node(NodeMessage::CheckReachability {
                 service,
                 member: self.member_names[member].clone(),
             }),
@@ -181,7 +181,7 @@
         }
     }
 
-    fn start(&self, member: usize, operation: Operation) {
+    fn start_operation(&self, member: usize, operation: Operation) {
         // The member's task runs as long as this sender exists.
         let _ = self.operations[member].send(operation);
     }
--- a/src/control/node/config.rs
+++ b/src/control/node/config.rs
@@ -177,7 +177,10 @@
         match result {
             Some(fetched) => self.put_in_force(head, fetched),
             None if head.version > 0 => {
-                log::warn!(target: "config", version = head.version; "configuration version could not be fetched");
+                log::warn!(
+                    target: "config", version = head.version;
+                    "configuration version could not be fetched"
+                );
                 self.due.head_ms = clock::now_ms() + RETRY_INTERVAL_MS;
             }
             None => {}
--- a/src/control/node/message.rs
+++ b/src/control/node/message.rs
@@ -138,14 +138,14 @@
     },
     /// The delegate on this VM has lost its primary and wants to know whether
     /// other slot holders still reach it.
-    AskHolders {
+    CheckReachability {
         /// Service.
         service: Name,
         /// The suspected primary.
         member: Name,
     },
-    /// Result of asking the other slot holders.
-    HoldersAnswered {
+    /// Answers of the other slot holders.
+    Reachability {
         /// Service.
         service: Name,
         /// Whether any of them reaches the primary.
--- a/src/control/node/mod.rs
+++ b/src/control/node/mod.rs
@@ -88,7 +88,7 @@
     pub draining: watch::Sender<bool>,
     /// Callers connected now.
     pub callers: Rc<Cell<usize>>,
-    /// Receives the name of a service whose primary fails, from its slot here.
+    /// Channel on which slots report that the primary of a service failed.
     pub primary_failed: flume::Sender<Name>,
 }
 
@@ -246,11 +246,13 @@
                 member,
                 reply,
             } => self.answer_reaches_primary(&service, member, reply),
-            NodeMessage::AskHolders { service, member } => self.ask_holders(&service, &member),
-            NodeMessage::HoldersAnswered {
+            NodeMessage::CheckReachability { service, member } => {
+                self.check_reachability(&service, &member)
+            }
+            NodeMessage::Reachability {
                 service,
                 reaches_primary,
-            } => self.holders_answered(&service, reaches_primary),
+            } => self.reachability(&service, reaches_primary),
             NodeMessage::ReserveTerms { service, highest } => self.reserve_terms(&service, highest),
             NodeMessage::Promoted {
                 service,
--- a/src/control/node/orders.rs
+++ b/src/control/node/orders.rs
@@ -1,5 +1,5 @@
-//! Failover and operators: the other holders' view of a primary, promotions,
-//! status and orders.
+//! Failover and operators: reachability of a primary, promotions, status and
+//! orders.
 
 use futures::{channel::oneshot, future::join_all};
 
@@ -15,11 +15,11 @@
 };
 
 /// Longest wait for the answer of a slot holder.
-const HOLDER_TIMEOUT: Duration = Duration::from_millis(400);
+const REACHABILITY_TIMEOUT: Duration = Duration::from_millis(400);
 
 impl Node {
     /// Asks the other slot holders whether they reach the primary.
-    pub(super) fn ask_holders(&mut self, service: &Name, member: &Name) {
+    pub(super) fn check_reachability(&mut self, service: &Name, member: &Name) {
         let Some(known) = self.rows.get(service) else {
             return;
         };
@@ -33,23 +33,24 @@
             let calls = addresses.into_iter().map(|address| {
                 let (peers, service, member) = (peers.clone(), service.clone(), member.clone());
                 async move {
-                    let call = peers.call(address, HOLDER_TIMEOUT, async |client, context| {
-                        client
-                            .reaches_primary(context, service.clone(), member.clone())
-                            .await
-                    });
+                    let call =
+                        peers.call(address, REACHABILITY_TIMEOUT, async |client, context| {
+                            client
+                                .reaches_primary(context, service.clone(), member.clone())
+                                .await
+                        });
                     call.await.unwrap_or(false)
                 }
             });
             let reaches_primary = join_all(calls).await.into_iter().any(|reaches| reaches);
-            NodeMessage::HoldersAnswered {
+            NodeMessage::Reachability {
                 service,
                 reaches_primary,
             }
         });
     }
 
-    pub(super) fn holders_answered(&mut self, service: &Name, reaches_primary: bool) {
+    pub(super) fn reachability(&mut self, service: &Name, reaches_primary: bool) {
         self.notify_delegate(service, Event::Reachability { reaches_primary });
     }
 
--- a/src/control/node/rows.rs
+++ b/src/control/node/rows.rs
@@ -194,14 +194,14 @@
             .rows
             .get(service)
             .map_or(0, |known| known.row.value.term);
-        let term = row.value.term;
+        let term_after = row.value.term;
         let known = KnownRow {
             row,
             read_ms: now_ms,
         };
         self.rows.insert(service.clone(), known);
         self.reconcile(service);
-        if term > term_before {
+        if term_after > term_before {
             self.refresh_slot(service);
         }
         self.publish();
