--- a/src/settings/error.rs
+++ b/src/settings/error.rs
@@ -1,10 +1,10 @@
-//! Errors of settings.
+//! Errors of reading settings.
 
 use std::path::PathBuf;
 
 use crate::prelude::*;
 
-/// Reason to refuse settings.
+/// Why settings are refused.
 #[derive(Debug, derive_more::Display, derive_more::Error)]
 pub enum SettingsError {
     /// A file can't be read.
@@ -12,23 +12,24 @@
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// Error of the read.
         source: std::io::Error,
     },
-    /// A file can't be parsed or a value is not allowed; the text names line and column.
+    /// A file can't be parsed, or a value is not allowed; the text names the line
+    /// and column.
     #[display("{}: {text}", path.display())]
     Invalid {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// What is wrong.
         text: String,
     },
-    /// The merged settings contradict each other or lack something.
+    /// The merged settings contradict each other, or a required key is missing.
     #[display("{key}: {text}")]
     Merged {
-        /// Key, with dots.
+        /// Dotted path of the key.
         key: String,
-        /// Why.
+        /// What is wrong.
         text: String,
     },
 }
@@ -45,7 +46,7 @@
         }
     }
 
-    /// An error of merged settings.
+    /// Creates an error of merged settings.
     pub fn merged(key: impl Into<String>, text: impl Into<String>) -> SettingsError {
         SettingsError::Merged {
             key: key.into(),
--- a/src/settings/file.rs
+++ b/src/settings/file.rs
@@ -1,4 +1,4 @@
-//! Reading a base file and its overlays.
+//! Reads a base file and merges its overlays over it.
 
 use std::path::{Path, PathBuf};
 
@@ -53,11 +53,11 @@
     })
 }
 
-/// Parses and checks a text; the error names the line or key at fault.
+/// Parses and checks the text of a file.
 ///
 /// # Errors
 ///
-/// Returns the text of the first fault.
+/// Returns a description of the first error, with the line or key at fault.
 pub fn parse<T>(text: &str) -> std::result::Result<T, String>
 where
     T: DeserializeOwned + Validate,
--- a/src/settings/member.rs
+++ b/src/settings/member.rs
@@ -8,7 +8,7 @@
 use crate::prelude::*;
 
 part! {
-    /// A member as one file gives it.
+    /// Settings of a member in one file.
     MemberPart {
         /// Address of its PostgreSQL port.
         #[garde(skip)]
@@ -16,25 +16,25 @@
         /// Availability zone.
         #[garde(length(min = 1))]
         zone: String,
-        /// Set while the member is to get no new work.
+        /// Set while the member must get no new work.
         #[garde(skip)]
         leaving: bool,
     }
 }
 
-/// A member of a service.
+/// Settings of a member of a service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberSettings {
     /// Address of its PostgreSQL port.
     pub address: SocketAddr,
     /// Availability zone.
     pub zone: Name,
-    /// Set while the member is to get no new work.
+    /// Set while the member must get no new work.
     pub leaving: bool,
 }
 
 impl MemberSettings {
-    /// Checks that nothing needed is missing.
+    /// Builds the settings from the merged files.
     ///
     /// # Errors
     ///
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,5 +1,5 @@
-//! What operators write: settings of a VM, and the configuration of a site as
-//! a base file with overlays.
+//! The files that operators write: the settings of a VM and the configuration of
+//! a site, each a base file with overlays.
 
 mod error;
 mod file;
--- a/src/settings/part.rs
+++ b/src/settings/part.rs
@@ -1,4 +1,4 @@
-//! Parts: settings as one file gives them, with every key optional.
+//! Parts: the settings in one file, where every key is optional.
 
 /// Declares a struct of optional keys that a later file can overlay.
 macro_rules! part {
@@ -18,7 +18,7 @@
         }
 
         impl $name {
-            /// Takes over each key that `over` gives.
+            /// Replaces each key that `over` sets.
             pub fn overlay(&mut self, over: $name) {
                 $(
                     if over.$field.is_some() {
--- a/src/settings/service.rs
+++ b/src/settings/service.rs
@@ -1,4 +1,5 @@
-//! Settings of one service: a replicated database and how it is reached.
+//! Settings of one service: the members of a replicated database and how
+//! requests reach them.
 
 use bon::Builder;
 use serde::{Deserialize, Serialize};
@@ -6,28 +7,28 @@
 use super::{MemberPart, MemberSettings, Result, SettingsError, part::part};
 use crate::{decide::acknowledge::AcknowledgeMode, prelude::*};
 
-/// Fewest members of a service that can lose one.
+/// Fewest members of a service: with fewer, no majority is left when one fails.
 const MEMBERS_MIN: usize = 3;
 
 part! {
-    /// Options of a service as one file gives them.
+    /// Settings of a service in one file.
     ServicePart {
         /// Members by name.
         #[garde(dive)]
         members: BTreeMap<String, MemberPart>,
-        /// Connections to each member, over all slots.
+        /// Connections to each member, in total over all slots.
         #[garde(range(min = 3, max = 10_000))]
         connections: u32,
-        /// VMs that hold connections.
+        /// Number of slots: VMs that hold connections to the members.
         #[garde(range(min = 1, max = 16))]
         slots: u32,
         /// User that foxtailknot logs in as.
         #[garde(length(min = 1))]
         user: String,
-        /// Database at the members.
+        /// Name of the database on the members.
         #[garde(length(min = 1))]
         database: String,
-        /// What must be known before a commit is acknowledged.
+        /// What must be confirmed before a commit is acknowledged.
         #[garde(skip)]
         acknowledge: AcknowledgeMode,
         /// Longest wait for the confirmation of a commit, in milliseconds.
@@ -36,7 +37,7 @@
         /// Longest time a request waits for a connection, in milliseconds.
         #[garde(range(min = 1, max = 600_000))]
         queue_deadline_ms: u64,
-        /// Most requests that wait for a connection.
+        /// Most requests that may wait for a connection.
         #[garde(range(min = 1, max = 1_000_000))]
         queue_length: usize,
         /// Longest time a read waits for a replica to catch up, in milliseconds.
@@ -53,19 +54,19 @@
 pub struct ServiceSettings {
     /// Members by name.
     pub members: BTreeMap<Name, MemberSettings>,
-    /// Connections to each member, over all slots.
+    /// Connections to each member, in total over all slots.
     #[builder(default = 50)]
     pub connections: u32,
-    /// VMs that hold connections.
+    /// Number of slots: VMs that hold connections to the members.
     #[builder(default = 3)]
     pub slots: u32,
     /// User that foxtailknot logs in as.
     #[builder(default = "foxtailknot".into())]
     pub user: Name,
-    /// Database at the members.
+    /// Name of the database on the members.
     #[builder(default = "postgres".into())]
     pub database: Name,
-    /// What must be known before a commit is acknowledged.
+    /// What must be confirmed before a commit is acknowledged.
     #[builder(default)]
     pub acknowledge: AcknowledgeMode,
     /// Longest wait for the confirmation of a commit, in milliseconds.
@@ -74,7 +75,7 @@
     /// Longest time a request waits for a connection, in milliseconds.
     #[builder(default = 10_000)]
     pub queue_deadline_ms: u64,
-    /// Most requests that wait for a connection.
+    /// Most requests that may wait for a connection.
     #[builder(default = 1_000)]
     pub queue_length: usize,
     /// Longest time a read waits for a replica to catch up, in milliseconds.
@@ -86,7 +87,8 @@
 }
 
 impl ServicePart {
-    /// Overlays member by member instead of replacing all members.
+    /// Replaces each key that `over` sets; members are merged one by one instead of
+    /// being replaced together.
     pub fn overlay_deep(&mut self, mut over: ServicePart) {
         if let Some(members) = over.members.take() {
             let own = self.members.get_or_insert_default();
@@ -99,7 +101,7 @@
 }
 
 impl ServiceSettings {
-    /// Checks that nothing needed is missing and fills in the defaults.
+    /// Builds the settings from the merged files, with defaults for missing keys.
     ///
     /// # Errors
     ///
@@ -125,13 +127,14 @@
             .maybe_detect_ms(part.detect_ms)
             .build();
         if settings.connections < 2 * (settings.slots + 1) {
-            let text = "must be at least twice the number of slots and one more";
+            let text = "must be at least 2 * (slots + 1)";
             return Err(SettingsError::merged(format!("{key}.connections"), text));
         }
         Ok(settings)
     }
 
-    /// Members in order: their index is used by decisions.
+    /// Members in the order of their names; a member's position is the index by
+    /// which slots and the delegate refer to it.
     pub fn member_list(&self) -> Vec<(Name, MemberSettings)> {
         let members = self.members.iter();
         members.map(|(n, m)| (n.clone(), m.clone())).collect()
--- a/src/settings/site.rs
+++ b/src/settings/site.rs
@@ -6,7 +6,7 @@
 use crate::prelude::*;
 
 part! {
-    /// A site as one file gives it.
+    /// Configuration of a site in one file.
     SitePart {
         /// Services by name.
         #[garde(dive)]
@@ -17,12 +17,12 @@
 /// The configuration of a site.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SiteSettings {
-    /// Services by name. Callers name the service as their database.
+    /// Services by name. A caller gives the name of the service as its database.
     pub services: BTreeMap<Name, ServiceSettings>,
 }
 
 impl SitePart {
-    /// Overlays service by service.
+    /// Merges the services of `over` one by one.
     pub fn overlay_deep(&mut self, over: SitePart) {
         let services = self.services.get_or_insert_default();
         for (name, service) in over.services.into_iter().flatten() {
@@ -32,7 +32,8 @@
 }
 
 impl SiteSettings {
-    /// Checks the merged parts and fills in the defaults.
+    /// Builds the configuration from the merged files, with defaults for missing
+    /// keys.
     ///
     /// # Errors
     ///
@@ -42,7 +43,7 @@
         let mut addresses = BTreeMap::new();
         for (name, service) in part.services.iter().flatten() {
             let key = format!("services.{name}");
-            if !is_name(name) {
+            if !is_valid_name(name) {
                 let text = "must be letters, digits, `-` and `_` only";
                 return Err(SettingsError::merged(key, text));
             }
@@ -59,7 +60,7 @@
     }
 }
 
-fn is_name(text: &str) -> bool {
+fn is_valid_name(text: &str) -> bool {
     let allowed = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
     !text.is_empty() && text.chars().all(allowed)
 }
--- a/src/settings/vm.rs
+++ b/src/settings/vm.rs
@@ -7,20 +7,20 @@
 use super::{Result, SettingsError, part::part};
 use crate::prelude::*;
 
-/// How callers prove who they are.
+/// How callers are authenticated.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, strum::Display, Serialize, Deserialize)]
 #[strum(serialize_all = "snake_case")]
 #[serde(rename_all = "snake_case")]
 pub enum Authentication {
-    /// Nobody may enter until the operator chooses.
+    /// Refuses all callers until the operator chooses a method.
     #[default]
     Refuse,
-    /// Everybody who reaches the listener may enter.
+    /// Accepts everybody who can reach the listener.
     Trust,
 }
 
 part! {
-    /// Listeners as one file gives them.
+    /// Addresses of the listeners in one file.
     ListenPart {
         /// Callers, PostgreSQL protocol.
         #[garde(skip)]
@@ -38,7 +38,7 @@
 }
 
 part! {
-    /// Logging as one file gives it.
+    /// Settings of logging in one file.
     LogPart {
         /// Lowest level: `error`, `warn`, `info`, `debug` or `trace`.
         #[garde(skip)]
@@ -50,7 +50,7 @@
 }
 
 part! {
-    /// A VM as one file gives it.
+    /// Settings of a VM in one file.
     VmPart {
         /// Name of the VM.
         #[garde(length(min = 1, max = 63))]
@@ -67,14 +67,14 @@
         /// Address of the platform's services.
         #[garde(skip)]
         platform: SocketAddr,
-        /// Addresses of other VMs for calls between VMs, used while the platform's
-        /// list can't be read.
+        /// Addresses for calls to other VMs, used while the platform's VM list can't be
+        /// read.
         #[garde(skip)]
         seeds: Vec<SocketAddr>,
-        /// How callers prove who they are.
+        /// How callers are authenticated.
         #[garde(skip)]
         authentication: Authentication,
-        /// Permits `trust` on an address that is not loopback.
+        /// Permits `trust` on an address other than loopback.
         #[garde(skip)]
         trust_beyond_loopback: bool,
         /// Logging.
@@ -111,9 +111,10 @@
     pub admin: SocketAddr,
     /// Address of the platform's services.
     pub platform: SocketAddr,
-    /// Other VMs, for while the platform's list can't be read.
+    /// Addresses for calls to other VMs, used while the platform's VM list can't be
+    /// read.
     pub seeds: Vec<SocketAddr>,
-    /// How callers prove who they are.
+    /// How callers are authenticated.
     pub authentication: Authentication,
     /// Lowest log level.
     pub log_level: log::LevelFilter,
@@ -128,7 +129,7 @@
 }
 
 impl VmPart {
-    /// Overlays the nested parts key by key.
+    /// Replaces each key that `over` sets, also within the nested parts.
     pub fn overlay_deep(&mut self, mut over: VmPart) {
         if let Some(listen) = over.listen.take() {
             self.listen.get_or_insert_default().overlay(listen);
@@ -141,7 +142,7 @@
 }
 
 impl VmSettings {
-    /// Checks the merged parts and fills in the defaults.
+    /// Builds the settings from the merged files, with defaults for missing keys.
     ///
     /// # Errors
     ///
