--- a/src/cmd/config.rs
+++ b/src/cmd/config.rs
@@ -20,12 +20,12 @@
     store::ListedVm,
 };
 
-/// Longest wait for one VM.
+/// Longest wait for the answer of one VM.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Interval between two looks at who has the version.
-const WAIT_POLL: Duration = Duration::from_millis(200);
-/// VMs told directly of an accepted version.
-const TOLD: usize = 3;
+/// Interval at which the tool checks which VMs have the version in force.
+const WAIT_POLL_INTERVAL: Duration = Duration::from_millis(200);
+/// Number of VMs to which the tool sends an accepted version.
+const PUSH_FANOUT: usize = 3;
 
 /// Files of a configuration.
 #[derive(Clone, Debug, Bpaf)]
@@ -87,7 +87,7 @@
 ///
 /// # Errors
 ///
-/// Returns what went wrong, with its code.
+/// Returns the error with its code.
 pub fn run(command: ConfigCommand) -> Result<()> {
     match command {
         ConfigCommand::Check(files) => check(&files),
@@ -146,21 +146,21 @@
         return Ok(());
     }
     let vms = connections.platform.list_vms().await?;
-    tell(&connections, &vms, accepted).await;
+    push(&connections, &vms, accepted).await;
     wait_for(&connections, &vms, version, Duration::from_secs(wait_s)).await
 }
 
-async fn tell(connections: &Connections, vms: &[ListedVm], accepted: Accepted) {
-    let news = ConfigUpdate {
+async fn push(connections: &Connections, vms: &[ListedVm], accepted: Accepted) {
+    let update = ConfigUpdate {
         head: accepted.head,
         change: accepted.change,
     };
-    for vm in vms.iter().take(TOLD) {
-        // The others learn it from these or from the head row.
+    for vm in vms.iter().take(PUSH_FANOUT) {
+        // The other VMs get it from these or from the head row.
         let _ = connections
             .peers
             .call(vm.peer, CALL_TIMEOUT, async |client, context| {
-                client.push(context, news.clone()).await
+                client.push(context, update.clone()).await
             })
             .await;
     }
@@ -174,7 +174,7 @@
 ) -> Result<()> {
     let started = Instant::now();
     loop {
-        let behind = behind(connections, vms, version).await;
+        let behind = vms_behind(connections, vms, version).await;
         if behind.is_empty() {
             let elapsed_ms = started.elapsed().as_millis();
             println!("in force on {} VMs after {elapsed_ms} ms", vms.len());
@@ -188,11 +188,13 @@
             return Err(CmdError::new(Code::ConfigurationPending, text));
         }
         eprintln!("{} of {} VMs have it", vms.len() - behind.len(), vms.len());
-        compio::time::sleep(WAIT_POLL).await;
+        compio::time::sleep(WAIT_POLL_INTERVAL).await;
     }
 }
 
-async fn behind(connections: &Connections, vms: &[ListedVm], version: u64) -> Vec<String> {
+/// Names of the VMs that do not have the version in force; a VM that does not
+/// answer counts as one of them.
+async fn vms_behind(connections: &Connections, vms: &[ListedVm], version: u64) -> Vec<String> {
     let asked = vms.iter().filter(|vm| !vm.leaving).map(|vm| async move {
         let status = connections
             .peers
@@ -200,8 +202,8 @@
                 client.status(context).await
             })
             .await;
-        let theirs = status.ok().flatten().and_then(|s| s.config_version);
-        (theirs < Some(version)).then(|| vm.name.to_string())
+        let in_force = status.ok().flatten().and_then(|s| s.config_version);
+        (in_force < Some(version)).then(|| vm.name.to_string())
     });
     join_all(asked).await.into_iter().flatten().collect()
 }
--- a/src/cmd/context.rs
+++ b/src/cmd/context.rs
@@ -1,4 +1,4 @@
-//! What subcommands share.
+//! Options and connections that subcommands share.
 
 use std::net::SocketAddr;
 
@@ -23,9 +23,9 @@
 
 /// Connections that a subcommand uses.
 pub struct Connections {
-    /// The platform.
+    /// Client of the platform.
     pub platform: StoreClient,
-    /// VMs.
+    /// Clients of the VMs.
     pub peers: PeerClients,
 }
 
@@ -44,11 +44,11 @@
 }
 
 impl Connections {
-    /// VMs in the platform's list.
+    /// Lists the VMs that the platform knows.
     ///
     /// # Errors
     ///
-    /// Returns an error when the platform does not answer or lists none.
+    /// Returns an error when the platform does not answer or lists no VM.
     pub async fn vms(&self) -> Result<Vec<ListedVm>> {
         let vms = self.platform.list_vms().await?;
         if vms.is_empty() {
@@ -59,11 +59,11 @@
     }
 }
 
-/// Runs asynchronous work of a subcommand.
+/// Runs a subcommand's asynchronous work to its end.
 ///
 /// # Errors
 ///
-/// Returns the error of the work, or one when no runtime can be set up.
+/// Returns the error of the work, or an error when the runtime can't be set up.
 pub fn block_on<T>(work: impl Future<Output = Result<T>>) -> Result<T> {
     let setup = |error: std::io::Error| CmdError::new(Code::ListenFailed, error);
     let timers = tokio::runtime::Builder::new_multi_thread()
--- a/src/cmd/daemon.rs
+++ b/src/cmd/daemon.rs
@@ -1,4 +1,4 @@
-//! `foxtailknotd`.
+//! Command line of `foxtailknotd`.
 
 use std::{path::PathBuf, process::ExitCode};
 
@@ -38,7 +38,7 @@
         println!("settings of {} are good", settings.vm);
         return Ok(());
     }
-    // Only a second call could fail.
+    // Fails only if logging has been started before.
     let _ = logging::start(&settings.vm, settings.log_level, &settings.log_targets);
     let ended = daemon::run(settings);
     logging::flush();
--- a/src/cmd/error.rs
+++ b/src/cmd/error.rs
@@ -7,7 +7,7 @@
     store::StoreError,
 };
 
-/// A failed command: a code and a line for a person.
+/// Error of a command: a code and a one-line message for the operator.
 #[derive(Debug, derive_more::Display, derive_more::Error)]
 #[display("FK{} {text}", code.number())]
 pub struct CmdError {
@@ -21,7 +21,7 @@
 pub type Result<T> = std::result::Result<T, CmdError>;
 
 impl CmdError {
-    /// Creates an error.
+    /// Creates an error from a code and its cause.
     pub fn new(code: Code, text: impl ToString) -> CmdError {
         CmdError {
             code,
--- a/src/cmd/mod.rs
+++ b/src/cmd/mod.rs
@@ -1,5 +1,5 @@
-//! Command lines of the daemon and of the command-line tool, a file per
-//! subcommand.
+//! Command lines of the daemon and of the command-line tool, with one file for
+//! each subcommand.
 
 pub mod config;
 pub mod context;
--- a/src/cmd/service.rs
+++ b/src/cmd/service.rs
@@ -5,7 +5,7 @@
 use super::{
     context::{Connections, Target, block_on, target},
     error::{CmdError, Result},
-    status::ask_all,
+    status::read_status,
     table,
 };
 use crate::{
@@ -15,12 +15,12 @@
     store::Row,
 };
 
-/// Longest wait for a VM that gets an order.
+/// Longest wait for the answer to an order.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(2_000);
 /// Longest wait for a change of primary, in milliseconds.
 const FAILOVER_MS: u64 = 8_000;
-/// Interval of looks at the primary.
-const FAILOVER_POLL: Duration = Duration::from_millis(100);
+/// Interval at which the tool checks for the new primary.
+const FAILOVER_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Subcommands of `service`.
 #[derive(Clone, Debug, Bpaf)]
@@ -72,8 +72,8 @@
     },
 }
 
-/// A member as the slots see it.
-struct Seen {
+/// A member as seen from the slots.
+struct MemberSummary {
     name: Name,
     role: String,
     term: u64,
@@ -85,7 +85,7 @@
 ///
 /// # Errors
 ///
-/// Returns what went wrong, with its code.
+/// Returns the error with its code.
 pub fn run(command: ServiceCommand) -> Result<()> {
     match command {
         ServiceCommand::List { target } => block_on(list(&target)),
@@ -97,7 +97,7 @@
 ///
 /// # Errors
 ///
-/// Returns what went wrong, with its code.
+/// Returns the error with its code.
 pub fn run_failover(command: FailoverCommand) -> Result<()> {
     match command {
         FailoverCommand::Plan { target, service } => block_on(plan(&target, &service)),
@@ -113,7 +113,7 @@
 ///
 /// # Errors
 ///
-/// Returns what went wrong, with its code.
+/// Returns the error with its code.
 pub fn run_slots(target: &Target) -> Result<()> {
     let rows = block_on(async { read_rows(&target.connect()?).await })?;
     if target.json {
@@ -201,8 +201,8 @@
         "reserved terms {}..{}",
         value.reserved_from, value.reserved_until
     );
-    let seen = members(&connections, service).await?;
-    let lines: Vec<Vec<String>> = seen
+    let members = read_members(&connections, service).await?;
+    let lines: Vec<Vec<String>> = members
         .iter()
         .map(|m| {
             vec![
@@ -218,10 +218,11 @@
     Ok(())
 }
 
-/// Members of a service as its slots see them; the newest report counts.
-async fn members(connections: &Connections, service: &str) -> Result<Vec<Seen>> {
-    let reports = ask_all(connections, connections.vms().await?).await;
-    let mut members: BTreeMap<Name, Seen> = BTreeMap::new();
+/// Members of a service as its slots see them. If slots differ, the status with
+/// the highest term and position counts.
+async fn read_members(connections: &Connections, service: &str) -> Result<Vec<MemberSummary>> {
+    let reports = read_status(connections, connections.vms().await?).await;
+    let mut members: BTreeMap<Name, MemberSummary> = BTreeMap::new();
     let slots = reports.iter().filter_map(|r| r.status.as_ref());
     let slots = slots.flat_map(|status| &status.slots);
     for member in slots
@@ -231,7 +232,7 @@
         let Some(status) = member.status else {
             continue;
         };
-        let seen = Seen {
+        let seen = MemberSummary {
             name: member.name.clone(),
             role: status.role.to_string(),
             term: status.term,
@@ -254,17 +255,18 @@
     Ok(members.into_values().collect())
 }
 
-fn leader(members: &[Seen]) -> Option<&Seen> {
-    let primary = Role::Primary.to_string();
-    let leading = members.iter().filter(|m| m.role == primary);
-    leading.max_by_key(|m| m.term)
+/// The member that is primary in the highest term.
+fn find_primary(members: &[MemberSummary]) -> Option<&MemberSummary> {
+    let role = Role::Primary.to_string();
+    let primaries = members.iter().filter(|m| m.role == role);
+    primaries.max_by_key(|m| m.term)
 }
 
 async fn plan(target: &Target, service: &str) -> Result<()> {
     let connections = target.connect()?;
     let row = read_row(&connections, service).await?;
-    let members = members(&connections, service).await?;
-    let primary = leader(&members).map(|m| m.name.clone());
+    let members = read_members(&connections, service).await?;
+    let primary = find_primary(&members).map(|m| m.name.clone());
     let others = members.iter().filter(|m| Some(&m.name) != primary.as_ref());
     let chosen = others.max_by_key(|m| m.position);
     println!("primary {}", primary.as_deref().unwrap_or("-"));
@@ -279,8 +281,8 @@
 async fn change_primary(target: &Target, service: &str, member: &str) -> Result<()> {
     let connections = target.connect()?;
     let row = read_row(&connections, service).await?;
-    let before = members(&connections, service).await?;
-    let term = leader(&before).map_or(0, |m| m.term);
+    let before = read_members(&connections, service).await?;
+    let term = find_primary(&before).map_or(0, |m| m.term);
     let vms = connections.vms().await?;
     let delegate = vms
         .iter()
@@ -305,12 +307,12 @@
     }
     let deadline_ms = crate::clock::now_ms() + FAILOVER_MS;
     while crate::clock::now_ms() < deadline_ms {
-        let now = members(&connections, service).await?;
-        if let Some(primary) = leader(&now).filter(|m| m.term > term) {
+        let now = read_members(&connections, service).await?;
+        if let Some(primary) = find_primary(&now).filter(|m| m.term > term) {
             println!("{} leads in term {}", primary.name, primary.term);
             return Ok(());
         }
-        compio::time::sleep(FAILOVER_POLL).await;
+        compio::time::sleep(FAILOVER_POLL_INTERVAL).await;
     }
     let text = format!("no new primary within {FAILOVER_MS} ms");
     Err(CmdError::new(Code::PromotionRefused, text))
--- a/src/cmd/status.rs
+++ b/src/cmd/status.rs
@@ -10,19 +10,19 @@
 };
 use crate::{control::status::VmStatus, prelude::*, store::ListedVm};
 
-/// Longest wait for one VM.
+/// Longest wait for the answer of one VM.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// A VM with its report, if it answered.
+/// A VM with its status, if it answered.
 #[derive(Clone, Debug, Serialize)]
 pub struct VmReport {
     /// Name.
     pub vm: Name,
     /// Availability zone.
     pub zone: Name,
-    /// Whether the platform takes it away.
+    /// Whether the platform is about to remove it.
     pub leaving: bool,
-    /// Its report.
+    /// Its status; `None` if it did not answer.
     pub status: Option<VmStatus>,
 }
 
@@ -35,7 +35,7 @@
     let reports = block_on(async {
         let connections = target.connect()?;
         let vms = connections.vms().await?;
-        Ok(ask_all(&connections, vms).await)
+        Ok(read_status(&connections, vms).await)
     })?;
     if target.json {
         println!(
@@ -60,9 +60,9 @@
     Ok(())
 }
 
-/// Asks every VM for its report.
-pub async fn ask_all(connections: &Connections, vms: Vec<ListedVm>) -> Vec<VmReport> {
-    let asked = vms.into_iter().map(|vm| async move {
+/// Reads the status of every VM.
+pub async fn read_status(connections: &Connections, vms: Vec<ListedVm>) -> Vec<VmReport> {
+    let calls = vms.into_iter().map(|vm| async move {
         let status = connections
             .peers
             .call(vm.peer, CALL_TIMEOUT, async |client, context| {
@@ -76,7 +76,7 @@
             status: status.ok().flatten(),
         }
     });
-    join_all(asked).await
+    join_all(calls).await
 }
 
 fn row(report: &VmReport) -> Vec<String> {
--- a/src/cmd/table.rs
+++ b/src/cmd/table.rs
@@ -1,6 +1,6 @@
-//! Tables for a terminal.
+//! Tables on a terminal.
 
-/// Prints rows under headings, columns as wide as needed.
+/// Prints rows under headings, each column as wide as its widest cell.
 pub fn print(headings: &[&str], rows: &[Vec<String>]) {
     let width = |column: usize| {
         let cells = rows.iter().filter_map(|row| row.get(column));
--- a/src/cmd/tool.rs
+++ b/src/cmd/tool.rs
@@ -1,4 +1,4 @@
-//! `foxtailknot`.
+//! Command line of `foxtailknot`, the command-line tool.
 
 use std::process::ExitCode;
 
@@ -43,8 +43,8 @@
     /// Read session tokens.
     #[bpaf(command)]
     Session(#[bpaf(external(session_command))] SessionCommand),
-    /// Print the manual page. Completions: `--bpaf-complete-style-bash` and
-    /// its like for other shells.
+    /// Print the manual page. For shell completions, run with
+    /// `--bpaf-complete-style-bash`, or the same for another shell.
     #[bpaf(command)]
     Man,
 }
--- a/src/cmd/vm.rs
+++ b/src/cmd/vm.rs
@@ -9,7 +9,7 @@
 };
 use crate::{control::peer::OrderAnswer, prelude::*};
 
-/// Longest wait for a VM that gets an order.
+/// Longest wait for the answer to an order.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(2_000);
 
 /// Subcommands of `vm`.
@@ -38,7 +38,7 @@
 ///
 /// # Errors
 ///
-/// Returns what went wrong, with its code.
+/// Returns the error with its code.
 pub fn run(command: VmCommand) -> Result<()> {
     match command {
         VmCommand::List { target } => status::run(&target),
