--- a/src/control/node/orders.rs
+++ b/src/control/node/orders.rs
@@ -60,7 +60,7 @@
         member: Name,
         reply: oneshot::Sender<bool>,
     ) {
-        let Some(slot) = self.slots.get(service).map(|own| own.handle.clone()) else {
+        let Some(slot) = self.slots.get(service).map(|local| local.handle.clone()) else {
             let _ = reply.send(false);
             return;
         };
@@ -108,8 +108,8 @@
     }
 
     pub(super) fn status(&mut self, reply: oneshot::Sender<VmStatus>) {
-        let delegate_of = self.delegates.iter().map(|(service, own)| {
-            let phase = own.handle.phase().to_string();
+        let delegate_of = self.delegates.iter().map(|(service, local)| {
+            let phase = local.handle.phase().to_string();
             (service.clone(), Name::from(phase))
         });
         let peers = self.membership.peers().iter().map(|(vm, peer)| {
@@ -129,7 +129,7 @@
         let slots: Vec<(Name, SlotHandle)> = self
             .slots
             .iter()
-            .map(|(service, own)| (service.clone(), own.handle.clone()))
+            .map(|(service, local)| (service.clone(), local.handle.clone()))
             .collect();
         compio::runtime::spawn(async move {
             for (service, slot) in slots {
--- a/src/control/node/services.rs
+++ b/src/control/node/services.rs
@@ -63,28 +63,28 @@
 
     fn reconcile_slot(&mut self, service: &Name, wanted: Option<Arc<ServiceSettings>>) {
         let Some(settings) = wanted else {
-            if let Some(own) = self.slots.remove(service) {
+            if let Some(local) = self.slots.remove(service) {
                 decision!("placement", service = &**service; "slot given up");
                 // Stops the task, which may have ended already.
-                let _ = own.stop.send(());
+                let _ = local.stop.send(());
             }
             return;
         };
-        if let Some(own) = self.slots.get_mut(service) {
-            if Arc::ptr_eq(&own.settings, &settings) {
+        if let Some(local) = self.slots.get_mut(service) {
+            if Arc::ptr_eq(&local.settings, &settings) {
                 return;
             }
-            let same_members = same_members(&own.settings, &settings);
-            own.settings = settings.clone();
+            let same_members = same_members(&local.settings, &settings);
+            local.settings = settings.clone();
             if same_members {
-                own.handle.send(SlotMessage::Settings(settings));
+                local.handle.send(SlotMessage::Settings(settings));
                 return;
             }
-            let _ = own.stop.send(());
+            let _ = local.stop.send(());
         }
         decision!("placement", service = &**service; "slot taken");
-        let own = self.start_slot(service, settings);
-        self.slots.insert(service.clone(), own);
+        let local = self.start_slot(service, settings);
+        self.slots.insert(service.clone(), local);
     }
 
     fn start_slot(&self, service: &Name, settings: Arc<ServiceSettings>) -> LocalSlot {
@@ -119,7 +119,7 @@
             return;
         };
         let known = self.delegates.get(service);
-        if known.is_some_and(|own| Arc::ptr_eq(&own.settings, &settings)) {
+        if known.is_some_and(|local| Arc::ptr_eq(&local.settings, &settings)) {
             return;
         }
         decision!("placement", service = &**service; "delegate role taken");
@@ -152,7 +152,7 @@
             };
             let route = Route {
                 settings: settings.clone(),
-                slot: self.slots.get(service).map(|own| own.handle.clone()),
+                slot: self.slots.get(service).map(|local| local.handle.clone()),
                 holders: self.holders(&known.row.value.holders()),
             };
             table.insert(service.clone(), route);
@@ -265,15 +265,15 @@
 
     /// Makes the slot of a service look for its primary.
     pub(super) fn refresh_slot(&self, service: &Name) {
-        if let Some(own) = self.slots.get(service) {
-            own.handle.send(SlotMessage::Refresh);
+        if let Some(local) = self.slots.get(service) {
+            local.handle.send(SlotMessage::Refresh);
         }
     }
 
     /// Sends an event to the delegate of a service, if it runs here.
     pub(super) fn notify_delegate(&self, service: &Name, event: Event) {
-        if let Some(own) = self.delegates.get(service) {
-            own.handle.send(event);
+        if let Some(local) = self.delegates.get(service) {
+            local.handle.send(event);
         }
     }
 
