--- a/src/control/daemon.rs
+++ b/src/control/daemon.rs
@@ -115,7 +115,7 @@
     spawn(forward_messages(
         route_requests_seen,
         mailbox.clone(),
-        NodeMessage::Locate,
+        NodeMessage::RouteRequested,
     ))
     .detach();
     spawn(forward_messages(
@@ -222,8 +222,8 @@
     }
 }
 
-/// Waits for a signal, which starts the drain, or for a drain that an operator
-/// started.
+/// Starts the drain on a signal; returns then, or once the drain was started by
+/// an operator or by the platform's removal of the VM.
 async fn wait_for_stop(
     terminate: &mut SignalWatch,
     interrupt: &mut SignalWatch,
--- a/src/control/node/members.rs
+++ b/src/control/node/members.rs
@@ -29,8 +29,8 @@
 const LIST_INTERVAL_MS: u64 = 3_000;
 /// Interval between requests to seeds, in milliseconds.
 const SEED_INTERVAL_MS: u64 = 500;
-/// VMs that the guardians take in within one tick.
-const GUARDIAN_STEP: usize = 32;
+/// Most VMs that join or leave the map of standby delegates in one tick.
+const STANDBY_STEP: usize = 32;
 /// Bytes of the platform's VM list that a VM may read per second, on average;
 /// a longer list is read less often.
 const LIST_BYTES_PER_S: u64 = 200;
@@ -56,8 +56,8 @@
             log::warn!(target: "membership", peer = &**vm; "VM is dead");
         }
         self.update_working();
-        for guardian in self.guardians_after(&dead) {
-            self.ping(&guardian);
+        for standby in self.standbys_for_lost_delegates(&dead) {
+            self.ping(&standby);
         }
     }
 
@@ -253,10 +253,11 @@
         }
     }
 
-    /// Computes guardians in steps that leave the VM's only thread to callers.
-    pub(super) fn approach_guardians(&mut self) {
-        let is_done = self.guardians.converge(&self.working, GUARDIAN_STEP);
-        self.knows_guardians = is_done;
+    /// Updates the standby delegates in steps, so that the VM's only thread serves
+    /// callers in between.
+    pub(super) fn converge_standbys(&mut self) {
+        let is_done = self.standbys.converge(&self.working, STANDBY_STEP);
+        self.knows_standbys = is_done;
     }
 
     /// Updates the set of VMs that may get new work, and everything that depends
@@ -277,7 +278,7 @@
             decision!("placement", peer = &**vm; "VM is not eligible for new work");
         }
         self.working = working;
-        self.approach_guardians();
+        self.converge_standbys();
         self.due.rows_ms = 0;
         self.publish();
     }
--- a/src/control/node/message.rs
+++ b/src/control/node/message.rs
@@ -30,7 +30,7 @@
 /// A message to the control task.
 pub enum NodeMessage {
     /// A caller needs the route to a service.
-    Locate(RouteRequest),
+    RouteRequested(RouteRequest),
     /// Result of reading the head row.
     HeadRead(Result<Option<Row<Head>>>),
     /// Result of fetching a configuration version.
--- a/src/control/node/mod.rs
+++ b/src/control/node/mod.rs
@@ -100,8 +100,8 @@
     peers: PeerClients,
     rng: SmallRng,
     membership: Membership,
-    guardians: StandbyMap,
-    knows_guardians: bool,
+    standbys: StandbyMap,
+    knows_standbys: bool,
     working: BTreeSet<Name>,
     head: Option<Head>,
     site: SiteSettings,
@@ -114,7 +114,7 @@
     slots: BTreeMap<Name, LocalSlot>,
     delegates: BTreeMap<Name, LocalDelegate>,
     promotions: BTreeMap<Name, (u64, Name)>,
-    waiting_for_site: Vec<RouteRequest>,
+    waiting_for_config: Vec<RouteRequest>,
     due: Due,
     last_tick_ms: u64,
     has_listed_vms: bool,
@@ -141,8 +141,8 @@
             peers: PeerClients::new(ByteCount::new(parts.metrics.peer_bytes.clone())),
             rng: SmallRng::from_rng(&mut rand::rng()),
             membership,
-            guardians: StandbyMap::default(),
-            knows_guardians: false,
+            standbys: StandbyMap::default(),
+            knows_standbys: false,
             working: BTreeSet::new(),
             head: None,
             site: SiteSettings::default(),
@@ -155,7 +155,7 @@
             slots: BTreeMap::new(),
             delegates: BTreeMap::new(),
             promotions: BTreeMap::new(),
-            waiting_for_site: Vec::new(),
+            waiting_for_config: Vec::new(),
             due: Due::default(),
             last_tick_ms: clock::now_ms(),
             has_listed_vms: false,
@@ -187,8 +187,8 @@
         self.last_tick_ms = now_ms;
         self.tick_members(now_ms);
         self.tick_config(now_ms);
-        if !self.knows_guardians {
-            self.approach_guardians();
+        if !self.knows_standbys {
+            self.converge_standbys();
         }
         self.tick_rows(now_ms);
     }
@@ -205,7 +205,7 @@
 
     fn handle(&mut self, message: NodeMessage) {
         match message {
-            NodeMessage::Locate(locate) => self.locate(locate),
+            NodeMessage::RouteRequested(request) => self.route_requested(request),
             NodeMessage::HeadRead(result) => self.head_read(result),
             NodeMessage::Fetched { head, result } => self.fetched(head, result),
             NodeMessage::VmsListed(result) => self.vms_listed(result),
--- a/src/control/node/rows.rs
+++ b/src/control/node/rows.rs
@@ -25,7 +25,8 @@
 const ROW_REREAD_MS: u64 = 60_000;
 /// Longest wait for a VM to which a row is sent, or which is asked for one.
 const ROW_CALL_TIMEOUT: Duration = Duration::from_millis(500);
-/// VMs asked for a row besides its guardian while the platform is down.
+/// Number of VMs asked for a row, besides the standby delegate, while the
+/// platform is down.
 const ROW_PEERS: usize = 6;
 /// Number of reserved terms below which more are reserved.
 const RESERVED_TERMS_MIN: u64 = 8;
@@ -33,13 +34,13 @@
 impl Node {
     pub(super) fn tick_rows(&mut self, now_ms: u64) {
         let knows_site = self.has_listed_vms && self.head.is_some();
-        let is_ready = knows_site && self.knows_guardians && !self.is_draining();
+        let is_ready = knows_site && self.knows_standbys && !self.is_draining();
         if now_ms < self.due.rows_ms || !is_ready {
             return;
         }
         self.due.rows_ms = now_ms + ROWS_INTERVAL_MS;
         let mut services: BTreeSet<Name> =
-            self.guardians.services_of(&self.own).into_iter().collect();
+            self.standbys.services_of(&self.own).into_iter().collect();
         services.extend(self.delegates.keys().cloned());
         services.extend(self.slots.keys().cloned());
         for service in services {
@@ -69,13 +70,13 @@
             .is_some_and(|vm| self.membership.is_working(vm));
         if delegate.as_ref() == Some(&self.own) {
             self.place_slots(service, &row);
-        } else if !has_working_delegate && self.is_guardian(service) {
+        } else if !has_working_delegate && self.is_standby(service) {
             self.claim(service, Some(&row));
         }
     }
 
-    fn is_guardian(&self, service: &Name) -> bool {
-        self.guardians.standby_of(service) == Some(&self.own)
+    fn is_standby(&self, service: &Name) -> bool {
+        self.standbys.standby_of(service) == Some(&self.own)
     }
 
     fn read_row_once(&mut self, service: &Name) {
@@ -98,7 +99,7 @@
         let waiting = self.row_reads.remove(service).unwrap_or_default();
         match result {
             Ok(Some(row)) => self.adopt_row(service, row, true),
-            Ok(None) if self.knows_guardians && self.is_guardian(service) => {
+            Ok(None) if self.knows_standbys && self.is_standby(service) => {
                 self.claim(service, None);
             }
             Ok(None) => {}
@@ -123,7 +124,7 @@
         }
         let others = self.membership.peers().keys();
         let mut vms = others.choose_multiple(&mut self.rng, ROW_PEERS);
-        vms.extend(self.guardians.standby_of(service));
+        vms.extend(self.standbys.standby_of(service));
         let addresses: BTreeSet<_> = vms.iter().filter_map(|vm| self.address_of(vm)).collect();
         if addresses.is_empty() {
             return false;
--- a/src/control/node/services.rs
+++ b/src/control/node/services.rs
@@ -30,9 +30,9 @@
             let settings = kept.unwrap_or_else(|| Arc::new(settings.clone()));
             services.insert(name.clone(), settings);
         }
-        self.guardians.add_services(services.keys());
-        self.approach_guardians();
-        self.guardians
+        self.standbys.add_services(services.keys());
+        self.converge_standbys();
+        self.standbys
             .retain_services(|name| services.contains_key(name));
         self.rows.retain(|name, _| services.contains_key(name));
         self.services = services;
@@ -183,31 +183,31 @@
 
     /// Reads a service's row for a caller that lacks its route or whose route has
     /// failed.
-    pub(super) fn locate(&mut self, locate: RouteRequest) {
+    pub(super) fn route_requested(&mut self, request: RouteRequest) {
         if self.head.is_none() {
-            self.waiting_for_site.push(locate);
+            self.waiting_for_config.push(request);
             return;
         }
-        if !self.services.contains_key(&locate.service) {
+        if !self.services.contains_key(&request.service) {
             // The caller looks at the routes again and is refused.
-            let _ = locate.reply.send(());
+            let _ = request.reply.send(());
             return;
         }
-        let service = locate.service.clone();
+        let service = request.service.clone();
         self.row_reads
             .entry(service.clone())
             .or_default()
-            .push(locate.reply);
+            .push(request.reply);
         self.read_row(&service);
     }
 
     /// Answers the callers that waited for the first configuration.
     pub(super) fn answer_waiting(&mut self) {
-        for locate in std::mem::take(&mut self.waiting_for_site) {
+        for request in std::mem::take(&mut self.waiting_for_config) {
             match self.head {
-                Some(_) => self.locate(locate),
+                Some(_) => self.route_requested(request),
                 None => {
-                    let _ = locate.reply.send(());
+                    let _ = request.reply.send(());
                 }
             }
         }
@@ -252,15 +252,15 @@
         self.ping(vm);
     }
 
-    /// The guardians of the services whose delegate was declared dead, so that
-    /// they can claim the role at once.
-    pub(super) fn guardians_after(&self, dead: &[Name]) -> BTreeSet<Name> {
+    /// The standby delegates of the services whose delegate is among the `dead`
+    /// VMs. Once probed, they learn of its death and can claim the role at once.
+    pub(super) fn standbys_for_lost_delegates(&self, dead: &[Name]) -> BTreeSet<Name> {
         let lost = self.rows.iter().filter(|(_, known)| {
             let delegate = known.row.value.delegate.as_ref();
             delegate.is_some_and(|vm| dead.contains(vm))
         });
-        let guardians = lost.filter_map(|(service, _)| self.guardians.standby_of(service));
-        guardians.filter(|vm| **vm != self.own).cloned().collect()
+        let standbys = lost.filter_map(|(service, _)| self.standbys.standby_of(service));
+        standbys.filter(|vm| **vm != self.own).cloned().collect()
     }
 
     /// Makes the slot of a service look for its primary.
