--- a/src/cmd/config.rs
+++ b/src/cmd/config.rs
@@ -146,11 +146,11 @@
         return Ok(());
     }
     let vms = connections.platform.list_vms().await?;
-    push(&connections, &vms, accepted).await;
+    push_update(&connections, &vms, accepted).await;
     wait_for(&connections, &vms, version, Duration::from_secs(wait_s)).await
 }
 
-async fn push(connections: &Connections, vms: &[ListedVm], accepted: Accepted) {
+async fn push_update(connections: &Connections, vms: &[ListedVm], accepted: Accepted) {
     let update = ConfigUpdate {
         head: accepted.head,
         change: accepted.change,
--- a/src/control/node/members.rs
+++ b/src/control/node/members.rs
@@ -80,7 +80,7 @@
                 peer: vm.peer,
             };
             self.membership.listed(now_ms, &vm.name, &place, vm.leaving);
-            if vm.leaving && vm.name == self.own && !self.is_draining() {
+            if vm.leaving && vm.name == self.own_vm && !self.is_draining() {
                 log::info!(target: "control", "the platform is removing this VM");
                 self.drain();
             }
@@ -246,7 +246,7 @@
 
     fn make_ping(&mut self) -> Ping {
         Ping {
-            from: self.own.clone(),
+            from: self.own_vm.clone(),
             incarnation: self.membership.incarnation(),
             changes: self.membership.outgoing(),
             config_version: self.config_version(),
--- a/src/control/node/mod.rs
+++ b/src/control/node/mod.rs
@@ -95,7 +95,7 @@
 /// State of the control task.
 pub struct Node {
     parts: NodeParts,
-    own: Name,
+    own_vm: Name,
     mailbox: flume::Sender<NodeMessage>,
     peers: PeerClients,
     rng: SmallRng,
@@ -123,7 +123,7 @@
 impl Node {
     /// Creates the state; `mailbox` sends messages to the task.
     pub fn new(parts: NodeParts, mailbox: flume::Sender<NodeMessage>) -> Node {
-        let own = parts.settings.vm.clone();
+        let own_vm = parts.settings.vm.clone();
         let place = Place {
             zone: parts.settings.zone.clone(),
             internal: parts.settings.internal,
@@ -131,12 +131,12 @@
         };
         let membership = Membership::new(
             MembershipSettings::builder().build(),
-            own.clone(),
+            own_vm.clone(),
             place,
             clock::epoch_ms(),
         );
         Node {
-            own,
+            own_vm,
             mailbox,
             peers: PeerClients::new(ByteCount::new(parts.metrics.peer_bytes.clone())),
             rng: SmallRng::from_rng(&mut rand::rng()),
--- a/src/control/node/orders.rs
+++ b/src/control/node/orders.rs
@@ -24,7 +24,7 @@
             return;
         };
         let holders = known.row.value.holders();
-        let others = holders.iter().flatten().filter(|vm| **vm != self.own);
+        let others = holders.iter().flatten().filter(|vm| **vm != self.own_vm);
         let addresses: Vec<_> = others.filter_map(|vm| self.address_of(vm)).collect();
         let peers = self.peers.clone();
         let service = service.clone();
@@ -117,7 +117,7 @@
             (vm.clone(), Name::from(liveness))
         });
         let mut status = VmStatus {
-            vm: self.own.clone(),
+            vm: self.own_vm.clone(),
             zone: self.parts.settings.zone.clone(),
             config_version: self.config_version(),
             callers: self.parts.callers.get(),
--- a/src/control/node/rows.rs
+++ b/src/control/node/rows.rs
@@ -39,8 +39,11 @@
             return;
         }
         self.due.rows_ms = now_ms + ROWS_INTERVAL_MS;
-        let mut services: BTreeSet<Name> =
-            self.standbys.services_of(&self.own).into_iter().collect();
+        let mut services: BTreeSet<Name> = self
+            .standbys
+            .services_of(&self.own_vm)
+            .into_iter()
+            .collect();
         services.extend(self.delegates.keys().cloned());
         services.extend(self.slots.keys().cloned());
         for service in services {
@@ -68,7 +71,7 @@
         let has_working_delegate = delegate
             .as_ref()
             .is_some_and(|vm| self.membership.is_working(vm));
-        if delegate.as_ref() == Some(&self.own) {
+        if delegate.as_ref() == Some(&self.own_vm) {
             self.place_slots(service, &row);
         } else if !has_working_delegate && self.is_standby(service) {
             self.claim(service, Some(&row));
@@ -76,7 +79,7 @@
     }
 
     fn is_standby(&self, service: &Name) -> bool {
-        self.standbys.standby_of(service) == Some(&self.own)
+        self.standbys.standby_of(service) == Some(&self.own_vm)
     }
 
     fn read_row_once(&mut self, service: &Name) {
@@ -216,7 +219,7 @@
             "placement", service = &**service, reason = "guardian",
             from = row.delegate.as_deref().unwrap_or("none"); "claiming delegate role"
         );
-        row.delegate = Some(self.own.clone());
+        row.delegate = Some(self.own_vm.clone());
         row.reserve(row.term);
         self.assign_slots(service, &mut row);
         self.write_row(service, known.map_or(0, |k| k.version), row);
@@ -279,7 +282,7 @@
         let Some(known) = self.rows.get(service).map(|k| k.row.clone()) else {
             return;
         };
-        let is_delegate = known.value.delegate.as_ref() == Some(&self.own);
+        let is_delegate = known.value.delegate.as_ref() == Some(&self.own_vm);
         if !is_delegate || self.row_writes.contains(service) {
             return;
         }
@@ -292,7 +295,7 @@
         self.row_writes.insert(service.clone());
         let platform = self.parts.platform.clone();
         let service = service.clone();
-        let change_id = ids::change_id(&self.own);
+        let change_id = ids::change_id(&self.own_vm);
         self.spawn_task(async move {
             let key = keys::service(&service);
             let result = platform.write(&key, expect_version, &row, &change_id).await;
@@ -357,7 +360,7 @@
     pub(super) fn push_row(&mut self, service: &Name, row: &Row<ServiceRow>) {
         let mut vms: BTreeSet<Name> = row.value.holders().into_iter().flatten().collect();
         vms.extend(row.value.delegate.clone());
-        vms.remove(&self.own);
+        vms.remove(&self.own_vm);
         let addresses: Vec<_> = vms.iter().filter_map(|vm| self.address_of(vm)).collect();
         let peers = self.peers.clone();
         let service = service.clone();
--- a/src/control/node/services.rs
+++ b/src/control/node/services.rs
@@ -54,8 +54,8 @@
     pub(super) fn reconcile(&mut self, service: &Name) {
         let settings = self.services.get(service).cloned();
         let known = self.rows.get(service).map(|k| &k.row.value);
-        let is_holder = known.is_some_and(|row| row.is_holder(&self.own));
-        let is_delegate = known.is_some_and(|row| row.delegate.as_ref() == Some(&self.own));
+        let is_holder = known.is_some_and(|row| row.is_holder(&self.own_vm));
+        let is_delegate = known.is_some_and(|row| row.delegate.as_ref() == Some(&self.own_vm));
         let reserved = known.map_or(0..0, |row| row.reserved_from..row.reserved_until);
         self.reconcile_slot(service, settings.clone().filter(|_| is_holder));
         self.reconcile_delegate(service, settings.filter(|_| is_delegate), reserved);
@@ -165,7 +165,7 @@
     fn holders(&self, vms: &[Option<Name>]) -> Vec<Holder> {
         let own_zone = &self.parts.settings.zone;
         let peers = self.membership.peers();
-        let others = vms.iter().flatten().filter(|vm| **vm != self.own);
+        let others = vms.iter().flatten().filter(|vm| **vm != self.own_vm);
         let mut holders: Vec<Holder> = others
             .filter(|vm| self.membership.is_working(vm))
             .filter_map(|vm| {
@@ -260,7 +260,7 @@
             delegate.is_some_and(|vm| dead.contains(vm))
         });
         let standbys = lost.filter_map(|(service, _)| self.standbys.standby_of(service));
-        standbys.filter(|vm| **vm != self.own).cloned().collect()
+        standbys.filter(|vm| **vm != self.own_vm).cloned().collect()
     }
 
     /// Makes the slot of a service look for its primary.
--- a/src/settings/service.rs
+++ b/src/settings/service.rs
@@ -91,9 +91,9 @@
     /// being replaced together.
     pub fn overlay_deep(&mut self, mut over: ServicePart) {
         if let Some(members) = over.members.take() {
-            let own = self.members.get_or_insert_default();
+            let merged = self.members.get_or_insert_default();
             for (name, member) in members {
-                own.entry(name).or_default().overlay(member);
+                merged.entry(name).or_default().overlay(member);
             }
         }
         self.overlay(over);
