--- a/src/control/node/services.rs
+++ b/src/control/node/services.rs
@@ -1,8 +1,9 @@
-//! Services: which slots and delegates run here, and the routes.
+//! Services: starts and stops the slots and delegates of this VM, and publishes
+//! the routes.
 
 use std::rc::Rc;
 
-use super::{Node, NodeMessage, OwnDelegate, OwnSlot};
+use super::{LocalDelegate, LocalSlot, Node, NodeMessage};
 use crate::{
     control::delegate::{DelegateContext, DelegateHandle},
     decide::{failover::Event, membership::Liveness},
@@ -16,12 +17,12 @@
     settings::ServiceSettings,
 };
 
-/// Longest wait for a delegate that is told of a doubt.
-const DOUBT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Longest wait for a delegate that is told that its primary is suspected.
+const SUSPECT_TIMEOUT: Duration = Duration::from_millis(300);
 
 impl Node {
-    /// Takes over the services of the configuration.
-    pub(super) fn take_site(&mut self) {
+    /// Applies the configuration in force to the services here.
+    pub(super) fn apply_site(&mut self) {
         let mut services = BTreeMap::new();
         for (name, settings) in &self.site.services {
             let known = self.services.get(name);
@@ -29,9 +30,9 @@
             let settings = kept.unwrap_or_else(|| Arc::new(settings.clone()));
             services.insert(name.clone(), settings);
         }
-        self.guardians.add_services(services.keys());
-        self.approach_guardians();
-        self.guardians
+        self.standbys.add_services(services.keys());
+        self.converge_standbys();
+        self.standbys
             .retain_services(|name| services.contains_key(name));
         self.rows.retain(|name, _| services.contains_key(name));
         self.services = services;
@@ -48,12 +49,13 @@
         self.publish();
     }
 
-    /// Starts or stops the slot and the delegate of a service as its row says.
+    /// Starts or stops the slot and the delegate of a service, as its row and the
+    /// configuration require.
     pub(super) fn reconcile(&mut self, service: &Name) {
         let settings = self.services.get(service).cloned();
         let known = self.rows.get(service).map(|k| &k.row.value);
-        let is_holder = known.is_some_and(|row| row.is_holder(&self.own));
-        let is_delegate = known.is_some_and(|row| row.delegate.as_ref() == Some(&self.own));
+        let is_holder = known.is_some_and(|row| row.is_holder(&self.own_vm));
+        let is_delegate = known.is_some_and(|row| row.delegate.as_ref() == Some(&self.own_vm));
         let reserved = known.map_or(0..0, |row| row.reserved_from..row.reserved_until);
         self.reconcile_slot(service, settings.clone().filter(|_| is_holder));
         self.reconcile_delegate(service, settings.filter(|_| is_delegate), reserved);
@@ -61,31 +63,31 @@
 
     fn reconcile_slot(&mut self, service: &Name, wanted: Option<Arc<ServiceSettings>>) {
         let Some(settings) = wanted else {
-            if let Some(own) = self.slots.remove(service) {
+            if let Some(local) = self.slots.remove(service) {
                 decision!("placement", service = &**service; "slot given up");
-                // The task ends by this message; it may have ended already.
-                let _ = own.stop.send(());
+                // Stops the task, which may have ended already.
+                let _ = local.stop.send(());
             }
             return;
         };
-        if let Some(own) = self.slots.get_mut(service) {
-            if Arc::ptr_eq(&own.settings, &settings) {
+        if let Some(local) = self.slots.get_mut(service) {
+            if Arc::ptr_eq(&local.settings, &settings) {
                 return;
             }
-            let same_members = same_members(&own.settings, &settings);
-            own.settings = settings.clone();
+            let same_members = same_members(&local.settings, &settings);
+            local.settings = settings.clone();
             if same_members {
-                own.handle.send(SlotMessage::Settings(settings));
+                local.handle.send(SlotMessage::Settings(settings));
                 return;
             }
-            let _ = own.stop.send(());
+            let _ = local.stop.send(());
         }
         decision!("placement", service = &**service; "slot taken");
-        let own = self.start_slot(service, settings);
-        self.slots.insert(service.clone(), own);
+        let local = self.start_slot(service, settings);
+        self.slots.insert(service.clone(), local);
     }
 
-    fn start_slot(&self, service: &Name, settings: Arc<ServiceSettings>) -> OwnSlot {
+    fn start_slot(&self, service: &Name, settings: Arc<ServiceSettings>) -> LocalSlot {
         let (handle, mailbox) = SlotHandle::new();
         let (stop, stopped) = flume::bounded(1);
         let context = SlotContext {
@@ -97,7 +99,7 @@
         };
         let task = slot::run(context, handle.clone(), mailbox, stopped);
         compio::runtime::spawn(task).detach();
-        OwnSlot {
+        LocalSlot {
             handle,
             stop,
             settings,
@@ -117,7 +119,7 @@
             return;
         };
         let known = self.delegates.get(service);
-        if known.is_some_and(|own| Arc::ptr_eq(&own.settings, &settings)) {
+        if known.is_some_and(|local| Arc::ptr_eq(&local.settings, &settings)) {
             return;
         }
         decision!("placement", service = &**service; "delegate role taken");
@@ -129,15 +131,17 @@
         };
         let handle = DelegateHandle::start(context, reserved);
         self.delegates
-            .insert(service.clone(), OwnDelegate { handle, settings });
+            .insert(service.clone(), LocalDelegate { handle, settings });
     }
 
-    /// Publishes the routes that are known.
+    /// Publishes the routes to all services, and whether a configuration is in
+    /// force.
     pub(super) fn publish(&self) {
         let mut table = RouteTable::new();
         for (service, settings) in &self.services {
             let Some(known) = self.rows.get(service) else {
-                // A service without a row has no route yet; callers ask.
+                // Without a row the route has no holders; a caller's request for it
+                // reads the row.
                 let route = Route {
                     settings: settings.clone(),
                     slot: None,
@@ -148,7 +152,7 @@
             };
             let route = Route {
                 settings: settings.clone(),
-                slot: self.slots.get(service).map(|own| own.handle.clone()),
+                slot: self.slots.get(service).map(|local| local.handle.clone()),
                 holders: self.holders(&known.row.value.holders()),
             };
             table.insert(service.clone(), route);
@@ -157,11 +161,11 @@
         self.parts.ready.send_replace(self.head.is_some());
     }
 
-    /// Reachable holders, nearest first.
+    /// Working slot holders other than this VM, those in this zone first.
     fn holders(&self, vms: &[Option<Name>]) -> Vec<Holder> {
         let own_zone = &self.parts.settings.zone;
         let peers = self.membership.peers();
-        let others = vms.iter().flatten().filter(|vm| **vm != self.own);
+        let others = vms.iter().flatten().filter(|vm| **vm != self.own_vm);
         let mut holders: Vec<Holder> = others
             .filter(|vm| self.membership.is_working(vm))
             .filter_map(|vm| {
@@ -177,41 +181,43 @@
         holders
     }
 
-    /// A caller needs a route that the table lacks or that has failed.
-    pub(super) fn locate(&mut self, locate: RouteRequest) {
+    /// Reads a service's row for a caller that lacks its route or whose route has
+    /// failed.
+    pub(super) fn route_requested(&mut self, request: RouteRequest) {
         if self.head.is_none() {
-            self.waiting_for_site.push(locate);
+            self.waiting_for_config.push(request);
             return;
         }
-        if !self.services.contains_key(&locate.service) {
-            // Unknown here; the reply makes the caller look and be refused.
-            let _ = locate.reply.send(());
+        if !self.services.contains_key(&request.service) {
+            // The caller looks at the routes again and is refused.
+            let _ = request.reply.send(());
             return;
         }
-        let service = locate.service.clone();
-        self.reading
+        let service = request.service.clone();
+        self.row_reads
             .entry(service.clone())
             .or_default()
-            .push(locate.reply);
+            .push(request.reply);
         self.read_row(&service);
     }
 
-    /// Answers the callers that waited for a first configuration.
-    pub(super) fn release_waiting(&mut self) {
-        for locate in std::mem::take(&mut self.waiting_for_site) {
+    /// Answers the callers that waited for the first configuration.
+    pub(super) fn answer_waiting(&mut self) {
+        for request in std::mem::take(&mut self.waiting_for_config) {
             match self.head {
-                Some(_) => self.locate(locate),
+                Some(_) => self.route_requested(request),
                 None => {
-                    let _ = locate.reply.send(());
+                    let _ = request.reply.send(());
                 }
             }
         }
     }
 
-    /// A slot on this VM lost its primary: the delegate should look at once.
+    /// Tells the delegate of a service that a slot here lost its primary, so that
+    /// it probes the primary at once.
     pub(super) fn primary_failed(&mut self, service: &Name) {
         if self.delegates.contains_key(service) {
-            self.tell_delegate(service, Event::TrafficFailed);
+            self.notify_delegate(service, Event::TrafficFailed);
             return;
         }
         let known = self.rows.get(service);
@@ -222,60 +228,60 @@
         };
         let peers = self.peers.clone();
         let service = service.clone();
-        self.ask(async move {
-            let heard = peers
-                .call(address, DOUBT_TIMEOUT, async |client, context| {
+        self.spawn_task(async move {
+            let answer = peers
+                .call(address, SUSPECT_TIMEOUT, async |client, context| {
                     client.doubt_primary(context, service.clone()).await
                 })
                 .await;
-            let is_heard = heard.is_ok();
-            NodeMessage::DelegateAsked { vm, is_heard }
+            let has_answered = answer.is_ok();
+            NodeMessage::DelegateNotified { vm, has_answered }
         });
     }
 
-    /// A delegate that was told of a failed primary has answered, or not. One
-    /// that has not may be lost with the primary: it is probed at once, since
-    /// the probe that is due by chance may come seconds later.
-    pub(super) fn delegate_asked(&mut self, vm: &Name, is_heard: bool) {
+    /// Probes a delegate that did not answer when it was told of a failed primary.
+    /// It may be lost together with the primary, and the random probes may reach
+    /// it only seconds later.
+    pub(super) fn delegate_notified(&mut self, vm: &Name, has_answered: bool) {
         let peer = self.membership.peers().get(vm);
         let is_alive = peer.is_some_and(|peer| peer.liveness == Liveness::Alive);
-        if is_heard || !is_alive {
+        if has_answered || !is_alive {
             return;
         }
         decision!("membership", peer = &**vm; "delegate does not answer: probing it");
         self.ping(vm);
     }
 
-    /// The guardians of the services whose delegate was declared dead, so that
-    /// they can claim the role at once.
-    pub(super) fn guardians_after(&self, dead: &[Name]) -> BTreeSet<Name> {
+    /// The standby delegates of the services whose delegate is among the `dead`
+    /// VMs. Once probed, they learn of its death and can claim the role at once.
+    pub(super) fn standbys_for_lost_delegates(&self, dead: &[Name]) -> BTreeSet<Name> {
         let lost = self.rows.iter().filter(|(_, known)| {
             let delegate = known.row.value.delegate.as_ref();
             delegate.is_some_and(|vm| dead.contains(vm))
         });
-        let guardians = lost.filter_map(|(service, _)| self.guardians.standby_of(service));
-        guardians.filter(|vm| **vm != self.own).cloned().collect()
+        let standbys = lost.filter_map(|(service, _)| self.standbys.standby_of(service));
+        standbys.filter(|vm| **vm != self.own_vm).cloned().collect()
     }
 
     /// Makes the slot of a service look for its primary.
     pub(super) fn refresh_slot(&self, service: &Name) {
-        if let Some(own) = self.slots.get(service) {
-            own.handle.send(SlotMessage::Refresh);
+        if let Some(local) = self.slots.get(service) {
+            local.handle.send(SlotMessage::Refresh);
         }
     }
 
-    /// Sends the delegate of a service an event.
-    pub(super) fn tell_delegate(&self, service: &Name, event: Event) {
-        if let Some(own) = self.delegates.get(service) {
-            own.handle.send(event);
+    /// Sends an event to the delegate of a service, if it runs here.
+    pub(super) fn notify_delegate(&self, service: &Name, event: Event) {
+        if let Some(local) = self.delegates.get(service) {
+            local.handle.send(event);
         }
     }
 
-    /// A message that looks at a row again.
+    /// Reads a service's row; the result comes back as a message.
     pub(super) fn read_row(&mut self, service: &Name) {
         let platform = self.parts.platform.clone();
         let service = service.clone();
-        self.ask(async move {
+        self.spawn_task(async move {
             let key = crate::control::keys::service(&service);
             let result = platform.read(&key).await;
             NodeMessage::RowRead { service, result }
