--- a/src/decide/acknowledge.rs
+++ b/src/decide/acknowledge.rs
@@ -1,11 +1,11 @@
-//! When a commit may be acknowledged.
+//! When a commit may be acknowledged to the caller.
 
 use serde::{Deserialize, Serialize};
 
 use super::member::MemberView;
 use crate::prelude::*;
 
-/// What must be known before a commit is acknowledged.
+/// What must be confirmed before a commit is acknowledged.
 #[derive(
     Clone,
     Copy,
@@ -21,58 +21,58 @@
 #[strum(serialize_all = "snake_case")]
 #[serde(rename_all = "snake_case")]
 pub enum AcknowledgeMode {
-    /// A majority of the members holds the commit in the same term.
+    /// A majority of the members has received the commit in the same term.
     #[default]
     Majority,
-    /// A majority of the members still stands by the term.
+    /// A majority of the members still reports the commit's term.
     Term,
-    /// Nothing: the primary's answer is enough.
+    /// Nothing beyond the primary's answer.
     Primary,
 }
 
-/// Decision for a commit.
+/// Decision about a commit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "snake_case")]
 pub enum Decision {
-    /// Tell the caller that it is done.
+    /// Report success to the caller.
     Acknowledge,
-    /// Wait for more reports.
+    /// Wait for more member reports.
     Wait,
-    /// The term is over, or the time is: the outcome is not known.
+    /// The term has ended or the deadline has passed: the outcome is unknown.
     Unknown,
 }
 
-/// A commit that waits.
+/// A commit that waits for confirmation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Commit {
-    /// Its position.
+    /// Position of the commit in the log.
     pub position: Position,
-    /// Index of the primary that ran it.
+    /// Index of the primary that executed it.
     pub primary: usize,
     /// Time the primary answered, in milliseconds.
     pub answered_ms: u64,
 }
 
-/// What became of a commit whose term ended before it was confirmed.
+/// Outcome of a commit whose term ended before it was confirmed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "snake_case")]
 pub enum CommitOutcome {
-    /// The successor's log holds it; it is safe once a majority holds it in
-    /// the successor's term.
+    /// The new primary's log contains it; it is safe once a majority holds it
+    /// in the new primary's term.
     Inherited(Commit),
-    /// No later primary can hold it: it was never run.
+    /// No later primary can have it, so it counts as never executed.
     Discarded,
-    /// The term has not ended.
+    /// The commit's term has not ended yet.
     Open,
 }
 
-/// Decides the fate of a commit from `found`, the term of the entry that the
-/// current primary holds at its position.
+/// Determines the outcome of a commit from `found`, the term of the log entry
+/// that the current primary holds at the commit's position.
 ///
-/// `now` is the position of a barrier by majority, taken after the commit's
-/// term ended: a majority is in step with the term of `now`, and every later
-/// primary is chosen from a majority by the term it is in step with. So what
-/// this primary lacks can't come back.
+/// `now` is the position of a majority barrier taken after the commit's term
+/// ended. A majority is synchronized with the term of `now`, and every later
+/// primary is chosen from a majority by the term it is synchronized with, so a
+/// commit that this primary lacks cannot reappear.
 pub fn commit_outcome(
     commit: &Commit,
     now: Position,
@@ -94,9 +94,9 @@
 
 /// Decides whether a commit may be acknowledged.
 ///
-/// A confirmation in the commit's own term is final: the promotion to any
-/// later term chooses a member that holds the commit, because it hears from
-/// a majority and takes the most advanced.
+/// A confirmation in the commit's own term is final: a promotion to a later
+/// term chooses the most advanced member of a majority, and that member has the
+/// commit.
 pub fn acknowledge(mode: AcknowledgeMode, commit: &Commit, members: &[MemberView]) -> Decision {
     if mode == AcknowledgeMode::Primary {
         return Decision::Acknowledge;
--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -1,29 +1,29 @@
-//! Admission of requests that wait for a connection.
+//! Admission control for requests that wait for a connection.
 
 use crate::prelude::*;
 
-/// Weight of the newest sample in the mean service time.
+/// Weight of the newest sample in the moving average of the service time.
 const SAMPLE_WEIGHT: f64 = 0.1;
-/// Samples before the mean is trusted.
+/// Number of samples needed before the mean service time is used.
 const SAMPLES_MIN: u32 = 20;
 
-/// Answer to a request that wants to wait.
+/// Decision about a request that has no free connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It may wait.
+    /// The request may wait in the queue.
     Queue,
-    /// It would not be served in time; try again after this time.
+    /// The queue is full, or the request would miss its deadline.
     Refuse {
-        /// Time after which to try again, in milliseconds.
+        /// Delay after which the caller should try again, in milliseconds.
         retry_after_ms: u64,
     },
 }
 
-/// Place in a queue: priority, deadline in milliseconds, order of arrival.
+/// Sort key in the queue: priority, deadline in milliseconds, order of arrival.
 type Rank = (u32, u64, u64);
 
 /// A queue ordered by priority, then by deadline, with an estimate of the time
-/// to serve it.
+/// needed to drain it.
 #[derive(Debug)]
 pub struct AdmissionQueue<T> {
     waiting: BTreeMap<Rank, T>,
@@ -45,17 +45,17 @@
         }
     }
 
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether no request waits.
+    /// Whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// Records how long a request held its connection, in microseconds.
+    /// Records how long a request used its connection, in microseconds.
     pub fn record(&mut self, service_us: u64) {
         let sample = service_us as f64;
         self.samples = self.samples.saturating_add(1);
@@ -66,8 +66,8 @@
     /// Decides whether a request with `left_ms` until its deadline may wait
     /// while `servers` connections serve the queue.
     ///
-    /// Without servers (no primary) only the length bounds the queue: the
-    /// time until there is one is not known.
+    /// With no connections (no primary) only the capacity limits the queue,
+    /// because the time until one becomes available is unknown.
     pub fn admit(&self, left_ms: u64, servers: usize) -> Admission {
         let ahead = self.waiting.len();
         if ahead >= self.capacity {
@@ -87,27 +87,27 @@
         }
     }
 
-    /// Adds a request that must be served by `deadline_ms`. Requests of priority
-    /// zero go first.
+    /// Adds a request that must be served by `deadline_ms`. A lower `priority`
+    /// value is served first.
     pub fn push(&mut self, priority: u32, deadline_ms: u64, request: T) {
         self.sequence += 1;
         let rank = (priority, deadline_ms, self.sequence);
         self.waiting.insert(rank, request);
     }
 
-    /// Removes the request that goes first.
+    /// Removes the request that is served next.
     pub fn pop(&mut self) -> Option<T> {
         self.waiting.pop_first().map(|(_, request)| request)
     }
 
-    /// Removes the requests whose deadline has passed at `now_ms`.
+    /// Removes and returns the requests whose deadline has passed at `now_ms`.
     pub fn expire(&mut self, now_ms: u64) -> Vec<T> {
         let is_due = |rank: &Rank, _: &mut T| rank.1 <= now_ms;
         let expired = self.waiting.extract_if(.., is_due);
         expired.map(|(_, request)| request).collect()
     }
 
-    /// Takes all requests out.
+    /// Removes and returns all requests.
     pub fn drain(&mut self) -> Vec<T> {
         std::mem::take(&mut self.waiting).into_values().collect()
     }
--- a/src/decide/barrier.rs
+++ b/src/decide/barrier.rs
@@ -1,7 +1,9 @@
-//! The position that a session of unknown position must see.
+//! The barrier: the position that a session whose own position is unknown must
+//! see.
 //!
-//! A cut-off primary still answers as if it led, so nothing counts unless a
-//! majority of the members stood by its term after the question came.
+//! A primary that is cut off still answers as primary. Its position therefore
+//! counts only if a majority of the members reports the same term after the
+//! request arrived.
 
 use super::{
     acknowledge::AcknowledgeMode,
@@ -9,16 +11,17 @@
 };
 use crate::prelude::*;
 
-/// Finds the barrier for a question that came at `arrived_ms`; `None` until
-/// the reports are in.
+/// Computes the barrier for a request that arrived at `arrived_ms`; `None` until
+/// enough reports are in.
 ///
-/// A report counts only if it was asked for in a later millisecond: within the
-/// same one the order of the two is not known.
+/// A report counts only if it was asked for in a later millisecond, because the
+/// order of two events within the same millisecond is unknown.
 ///
-/// Where commits are acknowledged by a majority, any majority of the members
-/// that are in step with the term holds every acknowledged commit, so the
-/// least advanced majority will do: the session need not wait for commits that
-/// nobody was told of. Otherwise it is the primary's position.
+/// If commits are acknowledged by a majority, any majority of the members that
+/// are synchronized with the term holds every acknowledged commit. The least
+/// advanced majority is enough, so that the session does not wait for commits
+/// that were never acknowledged. In the other modes the barrier is the primary's
+/// position.
 pub fn barrier(mode: AcknowledgeMode, members: &[MemberView], arrived_ms: u64) -> Option<Position> {
     match mode {
         AcknowledgeMode::Majority => quorum_barrier(members, arrived_ms),
@@ -26,18 +29,19 @@
     }
 }
 
-/// Position of the primary, once its term is confirmed.
+/// Position of the primary, once a majority has reported its term.
 pub fn primary_barrier(members: &[MemberView], arrived_ms: u64) -> Option<Position> {
     let fresh = fresh(members, arrived_ms);
     let highest = fresh.iter().map(|status| status.term).max()?;
-    let standing = fresh.iter().filter(|status| status.term == highest);
-    let has_majority = standing.clone().count() > members.len() / 2;
-    let mut leading = standing.filter(|status| status.role == Role::Primary);
-    let primary = leading.next()?;
+    let in_term = fresh.iter().filter(|status| status.term == highest);
+    let has_majority = in_term.clone().count() > members.len() / 2;
+    let mut primaries = in_term.filter(|status| status.role == Role::Primary);
+    let primary = primaries.next()?;
     has_majority.then(|| Position::new(highest, primary.received_lsn))
 }
 
-/// Least position that a majority in step with the highest term covers.
+/// Highest position within the least advanced majority of the members that are
+/// synchronized with the highest term.
 fn quorum_barrier(members: &[MemberView], arrived_ms: u64) -> Option<Position> {
     let is_awaited = |m: &MemberView| {
         let is_fresh = m.observation.is_some_and(|o| o.is_after(arrived_ms));
@@ -48,10 +52,10 @@
     }
     let fresh = fresh(members, arrived_ms);
     let highest = fresh.iter().map(|status| status.term).max()?;
-    let in_step = fresh
+    let synced = fresh
         .iter()
         .filter(|status| status.term == highest && status.synced_term == highest);
-    let mut received: Vec<Lsn> = in_step.map(|status| status.received_lsn).collect();
+    let mut received: Vec<Lsn> = synced.map(|status| status.received_lsn).collect();
     received.sort_unstable();
     let majority = members.len() / 2 + 1;
     let lsn = received.get(majority - 1)?;
--- a/src/decide/classify.rs
+++ b/src/decide/classify.rs
@@ -10,7 +10,7 @@
 };
 use std::ops::ControlFlow;
 
-/// Functions that read only and keep no session state.
+/// Functions that only read and leave no state in the session.
 const PURE_FUNCTIONS: &[&str] = &[
     "abs",
     "avg",
@@ -57,13 +57,13 @@
     "random",
 ];
 
-/// What a statement needs, from the least to the most demanding.
+/// Class of a statement, from the least to the most demanding.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, strum::Display)]
 #[strum(serialize_all = "snake_case")]
 pub enum Class {
-    /// Nothing: an empty statement.
+    /// An empty statement; needs no member.
     Empty,
-    /// Reads committed data only.
+    /// Only reads committed data.
     Read,
     /// Begins a read-only transaction.
     BeginReadOnly,
@@ -75,9 +75,9 @@
     Commit,
     /// Ends a transaction by rolling it back.
     RollBack,
-    /// Sets or shows a parameter of foxtailknot.
+    /// Sets or shows one of foxtailknot's own parameters.
     Own,
-    /// Changes state of the session outside a transaction.
+    /// Changes session state that outlives a transaction.
     Session,
     /// Copies data in or out.
     Copy,
@@ -85,9 +85,10 @@
 
 /// Classifies the text of a simple query or of a prepared statement.
 ///
-/// A text that the parser can't read counts as a write: the primary judges it.
+/// A text that the parser rejects counts as a write, so that the primary reports
+/// the error.
 pub fn classify(sql: &str) -> Class {
-    if let Some(class) = quick(sql) {
+    if let Some(class) = classify_simple(sql) {
         return class;
     }
     let Ok(statements) = Parser::parse_sql(&PostgreSqlDialect {}, sql) else {
@@ -97,8 +98,8 @@
     classes.max().unwrap_or(Class::Empty)
 }
 
-/// Recognizes the shortest and commonest statements without the parser.
-fn quick(sql: &str) -> Option<Class> {
+/// Recognizes short and frequent statements without the parser.
+fn classify_simple(sql: &str) -> Option<Class> {
     let text = sql.trim().trim_end_matches(';');
     if text.is_empty() {
         return Some(Class::Empty);
--- a/src/decide/dispatch.rs
+++ b/src/decide/dispatch.rs
@@ -1,20 +1,22 @@
-//! Which member serves a request, and on how many connections.
+//! Choice of the member that serves a read, and limits on the connections to a
+//! member.
 
 use crate::prelude::*;
 
-/// Extra cost of reading at the primary, in milliseconds: its slots are needed
-/// for what only it can do. About one read of a mean length.
+/// Extra cost of reading at the primary, in milliseconds: its connections are
+/// needed for work that only it can do. About the duration of one average read.
 const PRIMARY_COST_MS: f64 = 20.0;
-/// Extra cost of a member that lacked a position a moment ago, in
-/// milliseconds: more than a trip to another region and back.
+/// Extra cost of a member that recently lacked a requested position, in
+/// milliseconds: more than a round trip to another region.
 const BEHIND_COST_MS: f64 = 400.0;
-/// Share of a member's connections that all VMs may take together while it
-/// reports how many are open; the rest is for VMs that start.
+/// Fraction of a member's connections that all VMs together may open while the
+/// member reports its number of open connections; the rest is kept for VMs that
+/// start.
 const ELASTIC_SHARE: f64 = 0.65;
-/// Time after which an idle connection is closed, but for one, in
-/// milliseconds: a few times the pause within a transaction.
+/// Time after which an idle connection is closed unless it is the only one, in
+/// milliseconds: several times the usual pause within a transaction.
 const IDLE_MS: u64 = 1_500;
-/// Share of a member's connections that is dealt out evenly.
+/// Fraction of a member's connections that is divided evenly among the VMs.
 const FAIR_SHARE: f64 = 0.8;
 
 /// A member that may serve a read.
@@ -22,26 +24,25 @@
 pub struct ReadCandidate {
     /// Id of the member.
     pub member: Name,
-    /// Whether it leads.
+    /// Whether it is the primary.
     pub is_primary: bool,
-    /// Whether it lacked a position that was asked for a moment ago.
+    /// Whether it recently lacked a position that a read asked for.
     pub is_behind: bool,
-    /// Mean time of a read there, in milliseconds.
+    /// Mean duration of a read on the member, in milliseconds.
     pub mean_ms: f64,
-    /// Connections that could serve, open or allowed.
+    /// Connections that are open or may be opened.
     pub connections: usize,
-    /// Of these, those in use.
+    /// Number of these connections in use.
     pub in_use: usize,
-    /// Requests that wait for one.
+    /// Requests that wait for a connection.
     pub waiting: usize,
 }
 
 impl ReadCandidate {
-    /// Expected time until a read would be done, in milliseconds.
+    /// Expected time until a read completes, in milliseconds.
     ///
-    /// Answers the load of a normal day, where a zone serves its own reads,
-    /// and of a heavy one, where a queue at the near member costs more than a
-    /// trip to another region.
+    /// Under normal load a zone serves its own reads. Under heavy load a queue
+    /// at the nearest member may cost more than a round trip to another region.
     fn cost_ms(&self) -> f64 {
         let ahead = (self.in_use + self.waiting + 1).saturating_sub(self.connections);
         let rounds = ahead as f64 / self.connections.max(1) as f64;
@@ -56,50 +57,51 @@
     }
 }
 
-/// Chooses the member with the least expected time.
+/// Chooses the member with the lowest expected time.
 pub fn choose_reader(candidates: &[ReadCandidate]) -> Option<&ReadCandidate> {
     candidates
         .iter()
         .min_by(|a, b| a.cost_ms().total_cmp(&b.cost_ms()))
 }
 
-/// Whether a VM is cut off from a service of `members` members of which
-/// `failing` do not answer it.
+/// Whether a VM is cut off from a service, given that `failing` of its `members`
+/// do not answer.
 ///
-/// Alone with one member it can neither prove who leads nor have a commit
-/// acknowledged, but other VMs may: callers are sent there at once.
+/// A VM that reaches only a minority can neither confirm which member is primary
+/// nor get a commit acknowledged, but other VMs may be able to, so callers are
+/// sent there at once.
 pub fn is_cut_off(members: usize, failing: usize) -> bool {
     failing * 2 > members
 }
 
-/// What a VM knows of the connections to a member.
+/// What a VM knows about the connections to a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionBudget {
-    /// Most connections to the member, from all VMs together.
+    /// Maximum number of connections to the member from all VMs together.
     pub connections_max: usize,
-    /// Equal shares that they are dealt out in, one for this VM.
+    /// Number of equal shares they are divided into; this VM gets one.
     pub shares: usize,
-    /// Open ones from all VMs, as the member reported a moment ago.
+    /// Open connections from all VMs, by the member's latest report.
     pub reported: Option<usize>,
 }
 
 impl ConnectionBudget {
-    /// Connections that this VM may hold whatever the others do.
+    /// Connections that this VM may hold regardless of other VMs.
     pub fn fair_share(&self) -> usize {
-        (dealt(self.connections_max) / self.shares.max(1)).max(1)
+        (evenly_shared(self.connections_max) / self.shares.max(1)).max(1)
     }
 
-    /// Whether the member reported that there is room for more.
+    /// Whether the member's latest report leaves room for more connections.
     pub fn has_room(&self) -> bool {
         let room = (self.connections_max as f64 * ELASTIC_SHARE) as usize;
         self.reported.is_some_and(|reported| reported < room)
     }
 
-    /// Connections that this VM may hold while it holds `own`.
+    /// Maximum number of connections for this VM while it holds `own`.
     ///
-    /// Answers the load of a zone with few VMs, or of a VM that got more than
-    /// its part of the callers: it takes more while there is room, and gives
-    /// them back when they are idle.
+    /// In a zone with few VMs, or on a VM with more than its part of the
+    /// callers, the limit exceeds the fair share while there is room. Idle
+    /// connections are closed again.
     pub fn limit(&self, own: usize) -> usize {
         match self.has_room() {
             true => self.fair_share().max(own + 1),
@@ -107,31 +109,30 @@
         }
     }
 
-    /// Whether a connection that was idle for `idle_ms` is to be closed while
-    /// this VM holds `own`.
+    /// Whether to close a connection that was idle for `idle_ms` while this VM
+    /// holds `own`.
     ///
-    /// Answers a start of many VMs at once after a loss of power: the member
-    /// keeps the places of their old connections for a while, so there must be
-    /// room for the new ones.
+    /// This leaves room for many VMs that restart at once after a power failure,
+    /// while the member still counts their old connections for some time.
     pub fn is_surplus(&self, own: usize, idle_ms: u64) -> bool {
         let is_idle = own > 1 && idle_ms >= IDLE_MS;
         is_idle || (own > self.fair_share() && !self.has_room())
     }
 }
 
-/// Connections to a member that are dealt out evenly.
-fn dealt(connections_max: usize) -> usize {
+/// Connections to a member that are divided evenly among the VMs.
+fn evenly_shared(connections_max: usize) -> usize {
     (connections_max as f64 * FAIR_SHARE) as usize
 }
 
-/// The part of them that a region gets: callers come to VMs that are near, so
-/// the regions share first.
+/// Connections to a member for the VMs of one region. They are divided among
+/// the regions first, because callers connect to VMs nearby.
 pub fn connections_for_region(connections_max: usize, regions: usize) -> usize {
-    dealt(connections_max) / regions.max(1)
+    evenly_shared(connections_max) / regions.max(1)
 }
 
-/// Equal shares that the connections to a member are dealt out in, as seen
-/// from a region in which `holders` VMs hold connections.
+/// Number of equal shares that the connections to a member are divided into, for
+/// a region in which `holders` VMs hold connections.
 pub fn share_count(regions: usize, holders: usize) -> usize {
     regions.max(1) * holders.max(1)
 }
