--- a/src/control/node/config.rs
+++ b/src/control/node/config.rs
@@ -225,7 +225,7 @@
             .into_iter()
             .filter_map(|vm| self.address_of(vm))
             .collect();
-        let head = head.for_peers();
+        let head = head.for_update();
         let news = ConfigUpdate { head, change };
         for address in addresses {
             let peers = self.peers.clone();
--- a/src/decide/rollout.rs
+++ b/src/decide/rollout.rs
@@ -16,7 +16,7 @@
 pub const CHANGES_MAX: usize = 16;
 
 /// Changes named when other VMs are told of a head.
-const NEWS_CHANGES: usize = 2;
+const UPDATE_CHANGES: usize = 2;
 
 /// A change that made a version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -105,8 +105,8 @@
 
     /// The head as it is told to other VMs: with only its latest changes. Who
     /// is further behind asks for them.
-    pub fn for_peers(&self) -> Head {
-        let surplus = self.changes.len().saturating_sub(NEWS_CHANGES);
+    pub fn for_update(&self) -> Head {
+        let surplus = self.changes.len().saturating_sub(UPDATE_CHANGES);
         Head {
             version: self.version,
             snapshot: self.snapshot.clone(),
--- a/tests/decide_control.rs
+++ b/tests/decide_control.rs
@@ -191,7 +191,7 @@
 
 #[test]
 fn news_that_name_too_little_send_to_the_row() {
-    let news = head(40).for_peers();
+    let news = head(40).for_update();
     assert_eq!(refs(&news.plan(Some(38))), Some(2));
     assert_eq!(news.plan(Some(37)), Plan::ReadRow);
     assert_eq!(news.plan(None), Plan::ReadRow);
