--- a/src/decide/failover.rs
+++ b/src/decide/failover.rs
@@ -1,11 +1,12 @@
-//! Detection of a failed primary and its replacement, run by the delegate.
+//! Detection and replacement of a failed primary, run by the delegate.
 //!
-//! A promotion raises the term on a majority, then promotes the most advanced
-//! of those that answered. Terms come from a block that the service's row
-//! reserves for this delegate, so that a promotion needs no table.
+//! A failover raises the term on a majority of the members, then promotes the
+//! most advanced member that answered. Terms come from a range that the service's
+//! row reserves for this delegate, so that a failover needs no access to the
+//! table service.
 
 mod action;
-mod doubt;
+mod detection;
 mod event;
 mod promotion;
 mod settings;
@@ -17,19 +18,20 @@
 use super::member::{MemberStatus, Role};
 use crate::prelude::*;
 
-/// Time after which a reservation that was not answered is asked for again, in
+/// Time after which an unanswered reservation request is repeated, in
 /// milliseconds.
 const RESERVE_RETRY_MS: u64 = 1_000;
 
-/// Why the failover is where it is.
+/// Name of a phase of the failover.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "snake_case")]
 pub enum PhaseName {
-    /// The primary is well.
+    /// The primary is healthy.
     Watching,
-    /// The primary is in doubt.
-    Doubting,
-    /// The term is being raised.
+    /// The primary is suspected to have failed.
+    #[strum(serialize = "doubting")]
+    Suspecting,
+    /// The term is being raised on the members.
     Raising,
     /// A member is being promoted.
     Promoting,
@@ -38,9 +40,9 @@
 #[derive(Clone, Debug)]
 enum Phase {
     Watching,
-    Doubting {
-        opinions_asked_ms: Option<u64>,
-        nobody_reaches: bool,
+    Suspecting {
+        holders_asked_ms: Option<u64>,
+        no_holder_reaches: bool,
     },
     Raising {
         term: u64,
@@ -56,7 +58,7 @@
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Seen {
+struct MemberState {
     status: Option<MemberStatus>,
     answered_ms: Option<u64>,
     asked_ms: Option<u64>,
@@ -64,11 +66,11 @@
     failures: u32,
 }
 
-/// The delegate's state for one service.
+/// The delegate's failover state for one service.
 #[derive(Clone, Debug)]
 pub struct Failover {
     settings: FailoverSettings,
-    members: Vec<Seen>,
+    members: Vec<MemberState>,
     phase: Phase,
     reserved: std::ops::Range<u64>,
     reserve_asked_ms: Option<u64>,
@@ -79,11 +81,11 @@
 }
 
 impl Failover {
-    /// Starts to watch `members` members at `now_ms`.
+    /// Starts watching a service with `members` members at `now_ms`.
     pub fn new(settings: FailoverSettings, members: usize, now_ms: u64) -> Failover {
         Failover {
             settings,
-            members: vec![Seen::default(); members],
+            members: vec![MemberState::default(); members],
             phase: Phase::Watching,
             reserved: 0..0,
             reserve_asked_ms: None,
@@ -94,8 +96,8 @@
         }
     }
 
-    /// Marks members that are leaving: a primary among them is replaced, and
-    /// none of them is promoted while another can be.
+    /// Marks members that are leaving: a leaving primary is replaced, and a
+    /// leaving member is promoted only if no other can be.
     pub fn leaving(mut self, members: impl IntoIterator<Item = usize>) -> Failover {
         self.leaving = members.into_iter().collect();
         self
@@ -105,19 +107,20 @@
     pub fn phase(&self) -> PhaseName {
         match self.phase {
             Phase::Watching => PhaseName::Watching,
-            Phase::Doubting { .. } => PhaseName::Doubting,
+            Phase::Suspecting { .. } => PhaseName::Suspecting,
             Phase::Raising { .. } => PhaseName::Raising,
             Phase::Promoting { .. } => PhaseName::Promoting,
         }
     }
 
-    /// Highest term that a member has reported.
+    /// Highest term that any member has reported.
     pub fn highest_term(&self) -> u64 {
         let terms = self.members.iter().filter_map(|m| m.status);
         terms.map(|s| s.term).max().unwrap_or(0)
     }
 
-    /// Index of the member that led in the highest term when last heard.
+    /// Index of the member whose latest report says it is primary of the highest
+    /// term.
     pub fn primary(&self) -> Option<usize> {
         let highest = self.highest_term();
         self.members.iter().position(|m| {
@@ -126,22 +129,22 @@
         })
     }
 
-    /// Takes an event at `now_ms` and says what to do.
+    /// Processes an event at `now_ms` and returns the actions to take.
     pub fn step(&mut self, now_ms: u64, event: Event) -> Vec<Action> {
         match event {
             Event::Tick => {}
             Event::Probed { member, status } => self.record(now_ms, member, status),
-            Event::TrafficFailed => self.probe_now(),
-            Event::Reachability { reaches_primary } => self.hear_opinions(reaches_primary),
-            Event::Raised { member, status } => self.hear_raise(now_ms, member, status),
+            Event::TrafficFailed => self.probe_all_now(),
+            Event::Reachability { reaches_primary } => self.reachability_answered(reaches_primary),
+            Event::Raised { member, status } => self.raise_answered(now_ms, member, status),
             Event::Promoted { member, status } => {
-                return self.hear_promotion(now_ms, member, status);
+                return self.promotion_answered(now_ms, member, status);
             }
             Event::Reserved { from, until } => {
                 self.reserved = from..until;
                 self.reserve_asked_ms = None;
             }
-            Event::Order { preferred } => return self.order(now_ms, preferred),
+            Event::Order { preferred } => return self.order_failover(now_ms, preferred),
         }
         let mut actions = self.due_probes(now_ms);
         actions.extend(self.reserve_if_short(now_ms));
@@ -150,58 +153,58 @@
     }
 
     fn record(&mut self, now_ms: u64, member: usize, status: Option<MemberStatus>) {
-        let seen = &mut self.members[member];
+        let state = &mut self.members[member];
         if status.is_some() {
-            seen.status = status;
-            seen.answered_ms = Some(now_ms);
-            seen.failing_since_ms = None;
-            seen.failures = 0;
+            state.status = status;
+            state.answered_ms = Some(now_ms);
+            state.failing_since_ms = None;
+            state.failures = 0;
         } else {
-            seen.failing_since_ms.get_or_insert(now_ms);
-            seen.failures += 1;
+            state.failing_since_ms.get_or_insert(now_ms);
+            state.failures += 1;
         }
     }
 
-    fn probe_now(&mut self) {
-        for seen in &mut self.members {
-            seen.asked_ms = None;
+    fn probe_all_now(&mut self) {
+        for state in &mut self.members {
+            state.asked_ms = None;
         }
     }
 
-    fn doubt(&mut self) {
+    fn suspect_primary(&mut self) {
         if matches!(self.phase, Phase::Watching) {
-            self.phase = Phase::Doubting {
-                opinions_asked_ms: None,
-                nobody_reaches: false,
+            self.phase = Phase::Suspecting {
+                holders_asked_ms: None,
+                no_holder_reaches: false,
             };
         }
     }
 
-    fn hear_opinions(&mut self, reaches_primary: bool) {
-        if let Phase::Doubting {
-            opinions_asked_ms,
-            nobody_reaches,
+    fn reachability_answered(&mut self, reaches_primary: bool) {
+        if let Phase::Suspecting {
+            holders_asked_ms,
+            no_holder_reaches,
         } = &mut self.phase
         {
-            *nobody_reaches = !reaches_primary;
+            *no_holder_reaches = !reaches_primary;
             if reaches_primary {
-                *opinions_asked_ms = None;
+                *holders_asked_ms = None;
             }
         }
     }
 
     fn due_probes(&mut self, now_ms: u64) -> Vec<Action> {
         let interval_ms = match self.phase {
-            Phase::Watching if !self.is_uneasy() => self.settings.probe_interval_ms,
-            _ => self.settings.doubt_interval_ms,
+            Phase::Watching if !self.needs_fast_probes() => self.settings.probe_interval_ms,
+            _ => self.settings.suspect_interval_ms,
         };
         let mut actions = Vec::new();
-        for (i, seen) in self.members.iter_mut().enumerate() {
-            let is_due = seen
+        for (i, state) in self.members.iter_mut().enumerate() {
+            let is_due = state
                 .asked_ms
                 .is_none_or(|asked_ms| now_ms >= asked_ms + interval_ms);
             if is_due {
-                seen.asked_ms = Some(now_ms);
+                state.asked_ms = Some(now_ms);
                 actions.push(Action::Probe(i));
             }
         }
@@ -211,18 +214,18 @@
     fn advance(&mut self, now_ms: u64) -> Vec<Action> {
         match &self.phase {
             Phase::Watching => {
-                if self.is_in_doubt(now_ms) {
-                    self.doubt();
+                if self.is_primary_suspect(now_ms) {
+                    self.suspect_primary();
                 } else if self.must_hand_over(now_ms) {
                     return self.raise(now_ms);
                 }
                 Vec::new()
             }
-            Phase::Doubting { .. } => self.advance_doubt(now_ms),
+            Phase::Suspecting { .. } => self.advance_suspicion(now_ms),
             Phase::Raising { .. } => self.advance_raise(now_ms),
             Phase::Promoting { since_ms, .. } => {
-                // A lost answer leaves it open whether the member leads; only
-                // a higher term makes another choice safe.
+                // If the answer was lost, the member may already be primary.
+                // Choosing another one is safe only in a higher term.
                 if now_ms >= since_ms + self.settings.step_ms {
                     return self.raise(now_ms);
                 }
--- a/src/decide/failover/action.rs
+++ b/src/decide/failover/action.rs
@@ -1,13 +1,13 @@
-//! What the delegate does.
+//! Actions of the delegate.
 
-/// What the delegate does.
+/// An action that the delegate takes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Ask a member for its report.
     Probe(usize),
     /// Ask the other slot holders whether they reach the primary.
     CheckReachability(usize),
-    /// Raise the term on a member.
+    /// Raise the term of a member.
     Raise {
         /// Index of the member.
         member: usize,
@@ -18,10 +18,10 @@
     Promote {
         /// Index of the member.
         member: usize,
-        /// Term raised before.
+        /// Term that was raised before.
         term: u64,
     },
-    /// Tell everybody; write the row.
+    /// Announce the new primary to other VMs and write it to the service's row.
     Announce {
         /// Index of the new primary.
         member: usize,
--- a/src/decide/failover/event.rs
+++ b/src/decide/failover/event.rs
@@ -1,50 +1,50 @@
-//! What the delegate hears.
+//! Events that the delegate receives.
 
 use crate::decide::member::MemberStatus;
 
-/// What the delegate hears.
+/// An event that the delegate receives.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// Time passed.
     Tick,
-    /// A member answered a probe, or did not.
+    /// A probe was answered or has failed.
     Probed {
         /// Index of the member.
         member: usize,
-        /// Its report.
+        /// Its report; `None` if it did not answer.
         status: Option<MemberStatus>,
     },
-    /// Requests to the primary failed.
+    /// Requests to the primary have failed.
     TrafficFailed,
-    /// The other slot holders said whether any of them reaches the primary.
+    /// The other slot holders reported whether any of them reaches the primary.
     Reachability {
-        /// Whether one reaches it.
+        /// Whether at least one of them reaches it.
         reaches_primary: bool,
     },
-    /// A member answered a raise, or did not.
+    /// A request to raise the term was answered or has failed.
     Raised {
         /// Index of the member.
         member: usize,
-        /// Its report.
+        /// Its report; `None` if it did not answer.
         status: Option<MemberStatus>,
     },
-    /// A member answered a promotion, or did not.
+    /// A request to promote a member was answered or has failed.
     Promoted {
         /// Index of the member.
         member: usize,
-        /// Its report.
+        /// Its report; `None` if it did not answer.
         status: Option<MemberStatus>,
     },
     /// Terms were reserved.
     Reserved {
         /// First term.
         from: u64,
-        /// First term that is not reserved.
+        /// First term after the reserved range.
         until: u64,
     },
-    /// An operator asks for another primary.
+    /// An operator requested a failover.
     Order {
-        /// Member that is preferred if it is as advanced as any.
+        /// Index of the member to promote if none is more advanced.
         preferred: usize,
     },
 }
--- a/src/decide/failover/promotion.rs
+++ b/src/decide/failover/promotion.rs
@@ -3,7 +3,12 @@
 use super::*;
 
 impl Failover {
-    pub(super) fn hear_raise(&mut self, now_ms: u64, member: usize, status: Option<MemberStatus>) {
+    pub(super) fn raise_answered(
+        &mut self,
+        now_ms: u64,
+        member: usize,
+        status: Option<MemberStatus>,
+    ) {
         self.record(now_ms, member, status);
         let Phase::Raising { term, answers, .. } = &mut self.phase else {
             return;
@@ -14,7 +19,7 @@
         }
     }
 
-    pub(super) fn hear_promotion(
+    pub(super) fn promotion_answered(
         &mut self,
         now_ms: u64,
         member: usize,
@@ -39,7 +44,7 @@
         vec![Action::Announce { member, term }]
     }
 
-    pub(super) fn order(&mut self, now_ms: u64, preferred: usize) -> Vec<Action> {
+    pub(super) fn order_failover(&mut self, now_ms: u64, preferred: usize) -> Vec<Action> {
         let is_busy = matches!(self.phase, Phase::Raising { .. } | Phase::Promoting { .. });
         if is_busy || preferred >= self.members.len() {
             return Vec::new();
@@ -69,7 +74,7 @@
             return self.reserve_if_short(now_ms).into_iter().collect();
         };
         let suspect = match self.preferred {
-            // An operator's order does not mean that the primary is unwell.
+            // An operator's request does not mean that the primary has failed.
             Some(_) => None,
             None => self.primary(),
         };
@@ -98,8 +103,8 @@
         };
         let (term, since_ms) = (*term, *since_ms);
         let majority = self.members.len() / 2 + 1;
-        // A primary that its replicas have lost may hold more than they do,
-        // but nothing acknowledged that a majority of the others lacks.
+        // A suspected primary may have a longer log than its replicas, but a
+        // majority without it still holds every acknowledged commit.
         let mut others = answers.clone();
         if let Some(suspect) = suspect {
             others.remove(suspect);
--- a/src/decide/failover/settings.rs
+++ b/src/decide/failover/settings.rs
@@ -1,26 +1,27 @@
-//! Times of the failover.
+//! Timing of the failover.
 
 use bon::Builder;
 
-/// Times of the failover, in milliseconds.
+/// Intervals and timeouts of the failover, in milliseconds.
 #[derive(Clone, Copy, Debug, Builder)]
 pub struct FailoverSettings {
-    /// Interval of probes while all is well.
+    /// Probe interval while the primary is healthy.
     #[builder(default = 2_000)]
     pub probe_interval_ms: u64,
-    /// Interval of probes while the primary is in doubt.
+    /// Probe interval while the primary is suspected to have failed.
     #[builder(default = 100)]
-    pub doubt_interval_ms: u64,
-    /// Silence after which a primary counts as failed.
+    pub suspect_interval_ms: u64,
+    /// Time without contact after which replicas count the primary as failed.
     #[builder(default = 1_000)]
     pub detect_ms: u64,
-    /// Time that a primary's probes fail before the others are asked.
+    /// Time that probes of the primary must fail before the other slot holders are
+    /// asked.
     #[builder(default = 300)]
-    pub doubt_ms: u64,
-    /// Time that opinions, raises and promotions may take.
+    pub suspect_ms: u64,
+    /// Timeout of a reachability check, a raise of the term or a promotion.
     #[builder(default = 500)]
     pub step_ms: u64,
-    /// Time after a promotion before the next may start.
+    /// Minimum time from a promotion to the next failover.
     #[builder(default = 2_000)]
     pub pause_ms: u64,
 }
--- a/tests/decide_failover.rs
+++ b/tests/decide_failover.rs
@@ -1,4 +1,4 @@
-//! Scripted scenarios of the failover decision, on virtual time.
+//! Scripted failover scenarios with simulated time.
 
 use std::{error::Error, fmt::Write};
 
@@ -13,7 +13,7 @@
 
 #[derive(goldenscript::Command)]
 enum Command {
-    /// `report member=0 role=replica term=1 synced=1 lsn=5 seen=20`
+    /// `report member=0 role=replica term=1 lsn=5 seen=20`
     Report {
         #[arg(key)]
         member: usize,
@@ -47,8 +47,8 @@
         #[arg(key)]
         term: u64,
     },
-    /// `opinions reaches=false`
-    Opinions {
+    /// `reachability reaches=false`
+    Reachability {
         #[arg(key)]
         reaches: bool,
     },
@@ -116,7 +116,7 @@
                 member: *member,
                 status: Some(status(Role::Primary, *term, *term, 9, 0)),
             },
-            Command::Opinions { reaches } => Event::Reachability {
+            Command::Reachability { reaches } => Event::Reachability {
                 reaches_primary: *reaches,
             },
             Command::Reserved { from, until } => Event::Reserved {
@@ -167,7 +167,7 @@
 scripts! {
     killed_primary,
     cut_primary_is_not_chosen_again,
-    own_cut_is_not_the_primarys_death,
+    delegate_cut_off_from_primary,
     lost_promotion_answer_uses_a_higher_term,
     no_reserved_term,
     order,
