--- a/src/decide/holders.rs
+++ b/src/decide/holders.rs
@@ -1,23 +1,24 @@
-//! Which VMs hold connections to a member, and the ways by which others reach it.
+//! Choice of the VMs that hold connections to a member, and of the paths by which
+//! other VMs reach it.
 //!
-//! Connections to a member are few, VMs may be many. Where each VM of a region
-//! can have one of its own, all do; otherwise a few of them hold all of the
-//! region's connections and the others send their statements through those.
+//! A member allows few connections, but there may be many VMs. If every VM of a
+//! region can have a connection of its own, all do. Otherwise a few VMs hold all of
+//! the region's connections, and the others forward their statements to them.
 
 use std::cmp::Ordering;
 
 use super::{dispatch::connections_for_region, placement::score};
 use crate::prelude::*;
 
-/// Fewest connections that a holder has. Transactions that pause hold about half
-/// of them, and a pool is full by chance the less often the larger it is.
+/// Minimum number of connections per holder. Paused transactions occupy about half
+/// of them, and a larger pool is less likely to be full by chance.
 const HOLDER_CONNECTIONS: usize = 16;
-/// Ways through other VMs that are kept besides the first choice.
-const SPARE_WAYS: usize = 4;
-/// Index of the score that chooses holders, among those of a key.
-const AS_HOLDER: usize = 0;
-/// Index of the score that chooses ways for one VM.
-const AS_WAY: usize = 1;
+/// Number of paths through other VMs that are kept as alternatives.
+const SPARE_PATHS: usize = 4;
+/// Index of the hash score that ranks the holders of a member.
+const HOLDER_INDEX: usize = 0;
+/// Index of the hash score that ranks the paths of one VM.
+const PATH_INDEX: usize = 1;
 
 /// A VM that may hold connections.
 #[derive(Clone, Debug, PartialEq)]
@@ -26,21 +27,21 @@
     pub zone: Name,
     /// Region of the zone.
     pub region: Name,
-    /// Its power, relative to that of others.
+    /// Capacity of the VM, relative to that of other VMs.
     pub weight: f64,
 }
 
-/// How a VM reaches a member.
+/// Path by which a VM reaches a member.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MemberPath {
-    /// On connections of its own.
+    /// By its own connections.
     Direct,
     /// Through another VM.
     Through(Name),
 }
 
 impl MemberPath {
-    /// Name of the VM that it leads through, for logs.
+    /// Name of the VM that the path goes through, for logs.
     pub fn through(&self) -> &str {
         match self {
             MemberPath::Direct => "none",
@@ -49,11 +50,11 @@
     }
 }
 
-/// Chooses the VMs of a region that hold connections to a member; `None` if each
-/// VM of the region may.
+/// Chooses the VMs of a region that hold connections to a member; `None` if every
+/// VM of the region may hold some.
 ///
-/// Weighted rendezvous hashing: a VM is chosen in proportion to its weight, and
-/// one that joins or leaves moves only what it holds.
+/// Weighted rendezvous hashing chooses each VM in proportion to its weight, and a
+/// VM that joins or leaves changes only its own assignments.
 pub fn holders(
     member: &str,
     connections_max: usize,
@@ -61,21 +62,21 @@
     region: &Name,
 ) -> Option<Vec<Name>> {
     let regions: BTreeSet<&Name> = vms.values().map(|vm| &vm.region).collect();
-    let dealt = connections_for_region(connections_max, regions.len());
+    let region_connections = connections_for_region(connections_max, regions.len());
     let here = vms.iter().filter(|(_, vm)| vm.region == *region);
     let here: Vec<(&Name, &VmPlace)> = here.collect();
-    if here.len() <= dealt.max(1) {
+    if here.len() <= region_connections.max(1) {
         return None;
     }
-    let count = (dealt / HOLDER_CONNECTIONS).max(1);
-    Some(ranked(member, AS_HOLDER, here, count))
+    let count = (region_connections / HOLDER_CONNECTIONS).max(1);
+    Some(ranked(member, HOLDER_INDEX, here, count))
 }
 
-/// Ways by which the VM `own` reaches a member, best first.
+/// Paths by which the VM `own` reaches a member, best first.
 ///
-/// A holder goes itself, and through others while it is cut off from the
-/// member. Any other VM goes through holders of its region, then of others, and
-/// itself only when none of them answers.
+/// A holder connects directly, and goes through other holders while it cannot reach
+/// the member. Any other VM goes through holders in its region, then in other
+/// regions, and connects directly only if none of them answers.
 pub fn member_paths(
     own: &Name,
     member: &str,
@@ -85,7 +86,7 @@
     let Some(place) = vms.get(own) else {
         return vec![MemberPath::Direct];
     };
-    // Each VM ranks the others differently, so that the load spreads.
+    // Each VM ranks the others differently, which spreads the load.
     let key = format!("{own}/{member}");
     let holders_in = |region: &Name| -> Vec<(&Name, &VmPlace)> {
         let chosen = holders(member, connections_max, vms, region);
@@ -102,8 +103,8 @@
         .into_iter()
         .filter(|region| **region != place.region);
     let far: Vec<(&Name, &VmPlace)> = others.flat_map(holders_in).collect();
-    let near = ranked(&key, AS_WAY, holders_in(&place.region), SPARE_WAYS / 2);
-    let far = ranked(&key, AS_WAY, far, SPARE_WAYS - near.len());
+    let near = ranked(&key, PATH_INDEX, holders_in(&place.region), SPARE_PATHS / 2);
+    let far = ranked(&key, PATH_INDEX, far, SPARE_PATHS - near.len());
     let through = near.into_iter().chain(far).map(MemberPath::Through);
     match is_holder {
         true => std::iter::once(MemberPath::Direct).chain(through).collect(),
@@ -111,7 +112,7 @@
     }
 }
 
-/// The first `count` VMs by weighted rendezvous hashing.
+/// The `count` VMs with the highest weighted rendezvous scores.
 fn ranked(key: &str, index: usize, vms: Vec<(&Name, &VmPlace)>, count: usize) -> Vec<Name> {
     let mut scored: Vec<(f64, &Name)> = vms
         .into_iter()
@@ -122,7 +123,7 @@
     first.map(|(_, vm)| vm.clone()).collect()
 }
 
-/// Score whose maximum falls on a VM with a probability in proportion to its weight.
+/// Score with which a VM ranks highest with a probability proportional to its weight.
 fn weighted_score(key: &str, index: usize, vm: &str, weight: f64) -> f64 {
     let hash = score(key, index, vm) as f64;
     let unit = hash / u64::MAX as f64;
--- a/src/decide/leadership.rs
+++ b/src/decide/leadership.rs
@@ -1,36 +1,36 @@
-//! Proof that no other member has taken over: a member that was cut off answers
-//! as if it led.
+//! Confirmation that a primary still leads, needed because a primary that was cut
+//! off and replaced goes on answering as primary.
 
 use crate::prelude::*;
 
-/// What another member said of its term.
+/// A member's report about its term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TermReport {
     /// Time the question was sent, in microseconds.
     pub asked_us: u64,
-    /// Term that the member stands by, or is held for by a replacement of the
-    /// primary that is under way.
+    /// Term of the member, or the higher term of a replacement of the primary that
+    /// is in progress and has fenced the member.
     pub term: u64,
 }
 
-/// What is known about a term at a moment.
+/// Result of a leadership check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeadershipCheck {
-    /// Enough of the other members stand by this term or an earlier one.
+    /// Enough of the other members have reported this term or an earlier one.
     Confirmed {
-        /// Highest term among them.
+        /// Highest term that they reported.
         term: u64,
     },
-    /// More testimonies are needed.
+    /// More reports are needed.
     Pending,
 }
 
-/// Number of other members whose testimony proves that a member of a group of
-/// `members` leads.
+/// Number of other members that must report their term to confirm the primary of a
+/// group of `members`.
 ///
-/// A successor acknowledges a commit together with one more member, so it is
-/// enough that at most one of the others has not been heard. Without
-/// synchronous replicas it acknowledges alone, and all must be heard.
+/// A new primary needs one more member to acknowledge a commit, so the report of
+/// one of the others may be missing. Without synchronous replicas it acknowledges
+/// alone, and all the others must report.
 pub fn term_reports_needed(members: usize, sync_replicas: u32) -> usize {
     let others = members.saturating_sub(1);
     match sync_replicas {
@@ -39,7 +39,7 @@
     }
 }
 
-/// Weighs the testimonies of the other members, asked for after `since_us`.
+/// Evaluates the reports of the other members that were asked for after `since_us`.
 pub fn check_leadership(
     others: impl Iterator<Item = TermReport>,
     since_us: u64,
@@ -52,7 +52,7 @@
     if terms.len() < needed {
         return LeadershipCheck::Pending;
     }
-    // A later term refutes the proof even where enough others stand by an
+    // A single report of a later term counts, even if enough others report an
     // earlier one.
     terms.sort_unstable();
     LeadershipCheck::Confirmed {
@@ -60,13 +60,13 @@
     }
 }
 
-/// Position that covers all that was acknowledged before `since_us`, from the
-/// members other than the primary: `others` gives the time each was asked and
-/// what it has received; `None` for one that was not heard.
+/// Position that includes all commits acknowledged before `since_us`, from the
+/// members other than the primary. `others` gives the time each was asked and the
+/// position it has received, or `None` if it has not reported.
 ///
-/// A commit is acknowledged once one of them has received it, so the most
-/// advanced has received all of them. It needs no primary: replicas go on
-/// serving reads while it is being replaced.
+/// A commit is acknowledged once one of them has received it, so the most advanced
+/// has received all of them. This works without a primary, so that replicas keep
+/// serving reads while it is replaced.
 pub fn received_by_others(
     others: impl Iterator<Item = Option<(u64, Position)>>,
     since_us: u64,
@@ -83,8 +83,8 @@
     highest
 }
 
-/// Members to ask, nearest first, when `needed` testimonies are to come:
-/// `others` gives distance and failures of each.
+/// Chooses `needed` members to ask for their term, by fewest failures, then by
+/// distance. `others` gives the distance and the failures of each.
 pub fn members_to_ask(others: &BTreeMap<Name, (u32, u32)>, needed: usize) -> Vec<Name> {
     let mut ranked: Vec<(&Name, &(u32, u32))> = others.iter().collect();
     ranked.sort_by_key(|(name, (distance, failures))| (*failures, *distance, (*name).clone()));
--- a/src/decide/member.rs
+++ b/src/decide/member.rs
@@ -1,4 +1,4 @@
-//! What a slot knows of one member.
+//! State of one member, as a slot sees it.
 
 use serde::{Deserialize, Serialize};
 
@@ -22,40 +22,41 @@
 pub enum Role {
     /// Accepts writes.
     Primary,
-    /// Follows a primary.
+    /// Replicates from a primary.
     Replica,
 }
 
-/// A member's own report.
+/// Status that a member reports about itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberStatus {
     /// Role.
     pub role: Role,
-    /// Highest term it has promised to.
+    /// Highest term that the member has accepted.
     pub term: u64,
-    /// Term that its log is in step with: it holds all that the term's primary
-    /// held when the term began, and nothing that this primary lacks.
+    /// Term that the member's log is synchronized with: the log contains everything
+    /// that the term's primary had when the term began, and nothing that this
+    /// primary lacks.
     pub synced_term: u64,
-    /// Last position received.
+    /// Last LSN received.
     pub received_lsn: Lsn,
-    /// Last position replayed.
+    /// Last LSN replayed.
     pub replayed_lsn: Lsn,
     /// Time since a replica last heard from its primary, in milliseconds.
     pub primary_seen_ms: u64,
 }
 
 impl MemberStatus {
-    /// Position that readers of this member see.
+    /// Position up to which reads on this member see data.
     pub fn replayed(&self) -> Position {
         Position::new(self.synced_term, self.replayed_lsn)
     }
 
-    /// Whether readers of this member see all up to `position`.
+    /// Whether reads on this member see everything up to `position`.
     pub fn has_replayed(&self, position: Position) -> bool {
         self.synced_term >= position.term && self.replayed_lsn >= position.lsn
     }
 
-    /// Whether the member holds `position` and still stands by its term.
+    /// Whether the member has received `position` and is still in its term.
     pub fn confirms(&self, position: Position) -> bool {
         self.term == position.term
             && self.synced_term == position.term
@@ -63,14 +64,14 @@
     }
 }
 
-/// A report with the time it was asked for and answered.
+/// A status report with the times of the question and the answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Observation {
-    /// The report.
+    /// The reported status.
     pub status: MemberStatus,
-    /// Time the question was sent, in milliseconds.
+    /// Time at which the question was sent, in milliseconds.
     pub asked_ms: u64,
-    /// Time the answer came, in milliseconds.
+    /// Time at which the answer arrived, in milliseconds.
     pub answered_ms: u64,
 }
 
@@ -81,26 +82,26 @@
     }
 }
 
-/// Whether a question at `asked_ms` was sent after an event at `event_ms`.
-/// Within one millisecond the order is not known, so it does not count.
+/// Whether a question sent at `asked_ms` came after an event at `event_ms`. Within
+/// the same millisecond the order is unknown, so that does not count.
 pub fn asked_after(asked_ms: u64, event_ms: u64) -> bool {
     asked_ms > event_ms
 }
 
-/// What a slot knows of one member.
+/// State of one member, as a slot sees it.
 #[derive(Clone, Debug, Default)]
 pub struct MemberView {
     /// Name of the member.
     pub name: Option<Name>,
-    /// Whether it stands in the zone of this VM.
+    /// Whether it is in the zone of this VM.
     pub is_near: bool,
-    /// Last report.
+    /// Latest report.
     pub observation: Option<Observation>,
-    /// Questions in a row that got no answer.
+    /// Number of consecutive questions without an answer.
     pub failures: u32,
-    /// Set while the member is to get no new work.
+    /// Whether the member is leaving and gets no new requests.
     pub is_leaving: bool,
-    /// Requests that run on it now.
+    /// Requests that are running on it.
     pub in_use: usize,
 }
 
@@ -110,20 +111,20 @@
         self.answers() && !self.is_leaving
     }
 
-    /// Whether it answers.
+    /// Whether it has answered the latest question.
     pub fn answers(&self) -> bool {
         self.failures == 0 && self.observation.is_some()
     }
 }
 
-/// Index of the current primary: the one that answers and leads in the highest
-/// term that any member has promised to. A primary that is leaving keeps its
+/// Index of the current primary: the member that answers and is primary of the
+/// highest term that any member has reported. A primary that is leaving gets
 /// writes until the delegate has replaced it.
 pub fn primary(members: &[MemberView]) -> Option<usize> {
     primary_of(members.iter())
 }
 
-/// As [`primary`], over references.
+/// Same as [`primary`], for an iterator of references.
 pub fn primary_of<'a>(members: impl Iterator<Item = &'a MemberView> + Clone) -> Option<usize> {
     let observed = members.clone().filter_map(|m| m.observation);
     let highest = observed.map(|o| o.status.term).max()?;
