--- a/src/decide/membership.rs
+++ b/src/decide/membership.rs
@@ -1,4 +1,5 @@
-//! Which VMs live: probes with piggybacked changes, at constant load per VM.
+//! Membership and failure detection of VMs (SWIM): probes carry state changes, at a
+//! constant load per VM.
 
 use std::net::SocketAddr;
 
@@ -8,73 +9,73 @@
 
 use crate::prelude::*;
 
-/// State of a VM as others see it.
+/// State of a VM as seen by other VMs.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, strum::Display, Serialize, Deserialize,
 )]
 #[strum(serialize_all = "snake_case")]
 #[serde(rename_all = "snake_case")]
 pub enum Liveness {
-    /// It answers.
+    /// It answers probes.
     Alive,
-    /// It did not answer lately.
+    /// It did not answer its latest probe.
     Suspect,
-    /// It is stopping and takes no new work.
+    /// It is shutting down and takes no new work.
     Leaving,
-    /// It is gone.
+    /// It did not refute the suspicion in time.
     Dead,
 }
 
-/// Where a VM stands and how it is reached.
+/// Zone and addresses of a VM.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Place {
     /// Availability zone.
     pub zone: Name,
-    /// Address for callers forwarded by other VMs.
+    /// Address for callers that other VMs forward.
     pub internal: SocketAddr,
     /// Address for calls between VMs.
     pub peer: SocketAddr,
 }
 
-/// A change of a VM's state that spreads with probes.
+/// A change of a VM's state, disseminated with probes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
     /// Name of the VM.
     pub vm: Name,
-    /// Raised by the VM itself to refute a suspicion.
+    /// Incarnation number, raised by the VM itself to refute a suspicion.
     pub incarnation: u64,
-    /// Its state.
+    /// New state.
     pub liveness: Liveness,
-    /// Its place, told while it is alive so that others can add it.
+    /// Zone and addresses, sent while the VM is alive so that others can add it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub place: Option<Place>,
 }
 
-/// Times and sizes of the membership.
+/// Timeouts and limits of the membership protocol.
 #[derive(Clone, Copy, Debug, Builder)]
 pub struct MembershipSettings {
-    /// Time a suspect has to refute, in milliseconds.
+    /// Time that a suspect VM has to refute the suspicion, in milliseconds.
     #[builder(default = 2_000)]
     pub suspect_ms: u64,
-    /// Time after which a dead VM is forgotten, in milliseconds.
+    /// Time after which a dead VM is removed, in milliseconds.
     #[builder(default = 60_000)]
     pub forget_ms: u64,
-    /// Most changes on one message.
+    /// Maximum number of changes per message.
     #[builder(default = 8)]
     pub changes_max: usize,
-    /// Share of probes that go to another zone, in percent.
+    /// Percentage of probes that go to other zones.
     #[builder(default = 25)]
     pub far_percent: u32,
 }
 
-/// What is known of one VM.
+/// State of another VM.
 #[derive(Clone, Debug)]
 pub struct Peer {
-    /// Its place.
+    /// Zone and addresses.
     pub place: Place,
-    /// Its incarnation.
+    /// Incarnation number.
     pub incarnation: u64,
-    /// Its state.
+    /// State.
     pub liveness: Liveness,
     /// Time of the last change, in milliseconds.
     pub since_ms: u64,
@@ -89,14 +90,14 @@
     incarnation: u64,
     is_leaving: bool,
     peers: BTreeMap<Name, Peer>,
-    spreading: Vec<(Change, u32)>,
+    pending: Vec<(Change, u32)>,
 }
 
 impl Membership {
-    /// Starts with only this VM.
+    /// Creates a membership of this VM alone.
     ///
-    /// `incarnation` must be higher than that of any earlier process of the
-    /// same name; the start time in milliseconds does.
+    /// `incarnation` must be higher than that of any earlier process with the same
+    /// name, for example the start time in milliseconds.
     pub fn new(
         settings: MembershipSettings,
         own: Name,
@@ -110,7 +111,7 @@
             incarnation,
             is_leaving: false,
             peers: BTreeMap::new(),
-            spreading: Vec::new(),
+            pending: Vec::new(),
         }
     }
 
@@ -119,7 +120,8 @@
         &self.peers
     }
 
-    /// VMs that may get new work, this one among them unless it is leaving.
+    /// Names and zones of the VMs that may get new work, including this one unless
+    /// it is leaving.
     pub fn working(&self) -> impl Iterator<Item = (&Name, &Name)> {
         let own = (!self.is_leaving).then_some((&self.own, &self.own_place.zone));
         let peers = self
@@ -139,8 +141,9 @@
         peer.is_some_and(|p| matches!(p.liveness, Liveness::Alive | Liveness::Suspect))
     }
 
-    /// Takes the platform's list: it adds candidates and marks VMs as
-    /// leaving, but it lags, so it neither revives nor buries anyone.
+    /// Records a VM from the platform's list: it is added if unknown, and marked as
+    /// leaving if the list says so. The list lags, so it changes no VM to alive or
+    /// dead.
     pub fn listed(&mut self, now_ms: u64, vm: &Name, place: &Place, is_leaving: bool) {
         if *vm == self.own {
             return;
@@ -159,7 +162,7 @@
         }
     }
 
-    /// Removes VMs that are dead and that the platform lists no longer.
+    /// Removes dead and leaving VMs that the platform no longer lists.
     pub fn forget(&mut self, now_ms: u64, listed: &BTreeSet<Name>) {
         let forget_ms = self.settings.forget_ms;
         self.peers.retain(|vm, peer| {
@@ -168,7 +171,7 @@
         });
     }
 
-    /// Announces that this VM is leaving.
+    /// Announces to other VMs that this one is leaving.
     pub fn leave(&mut self) {
         self.is_leaving = true;
         self.incarnation += 1;
@@ -180,8 +183,8 @@
         });
     }
 
-    /// Chooses a VM to probe: mostly in this zone, a few across, now and then
-    /// a dead one so that a healed partition is noticed.
+    /// Chooses a VM to probe, mostly in this zone. Dead VMs are included so that a
+    /// healed partition is noticed.
     pub fn next_probe(&self, rng: &mut SmallRng) -> Option<Name> {
         let go_far = rng.random_ratio(self.settings.far_percent.min(100), 100);
         let is_wanted = |peer: &Peer| (peer.place.zone == self.own_place.zone) != go_far;
@@ -197,13 +200,13 @@
         chosen.map(|(vm, _)| vm.clone())
     }
 
-    /// VMs that may ask a silent one in this one's stead.
+    /// Chooses VMs for an indirect probe of a target that did not answer.
     pub fn helpers(&self, target: &str, count: usize, rng: &mut SmallRng) -> Vec<Name> {
-        let able = self
+        let alive = self
             .peers
             .iter()
             .filter(|(vm, p)| ***vm != *target && p.liveness == Liveness::Alive);
-        let chosen = able.choose_multiple(rng, count);
+        let chosen = alive.choose_multiple(rng, count);
         chosen.into_iter().map(|(vm, _)| vm.clone()).collect()
     }
 
@@ -212,8 +215,8 @@
         let Some(peer) = self.peers.get_mut(vm) else {
             return;
         };
-        // An answer of a later incarnation overrides death: it is a new
-        // process or one that was paused and has heard of its suspicion.
+        // An answer with a later incarnation revives a dead VM: it comes from a new
+        // process, or from one that was paused and has learned of the suspicion.
         let is_newer = incarnation > peer.incarnation;
         let refutes = peer.liveness == Liveness::Suspect || is_newer;
         peer.incarnation = peer.incarnation.max(incarnation);
@@ -222,7 +225,7 @@
         }
     }
 
-    /// Records that a probed VM did not answer, not even through helpers.
+    /// Records that a VM answered neither a direct nor an indirect probe.
     pub fn silent(&mut self, now_ms: u64, vm: &Name) {
         let is_alive = self
             .peers
@@ -233,24 +236,24 @@
         }
     }
 
-    /// Declares suspects dead whose time to refute is over.
+    /// Declares suspect VMs dead whose time to refute is over, and returns them.
     pub fn tick(&mut self, now_ms: u64) -> Vec<Name> {
         let suspect_ms = self.settings.suspect_ms;
-        let is_over =
+        let is_expired =
             |p: &Peer| p.liveness == Liveness::Suspect && now_ms >= p.since_ms + suspect_ms;
-        let over: Vec<Name> = self
+        let expired: Vec<Name> = self
             .peers
             .iter()
-            .filter(|(_, p)| is_over(p))
+            .filter(|(_, p)| is_expired(p))
             .map(|(vm, _)| vm.clone())
             .collect();
-        for vm in &over {
+        for vm in &expired {
             self.set(now_ms, vm, Liveness::Dead);
         }
-        over
+        expired
     }
 
-    /// Takes changes that came with a message.
+    /// Merges the changes that a message carried.
     pub fn merge(&mut self, now_ms: u64, changes: &[Change]) {
         for change in changes {
             if change.vm == self.own {
@@ -275,7 +278,7 @@
         }
     }
 
-    /// Announces this VM with its place, after its start.
+    /// Announces this VM with its addresses after its start.
     pub fn join(&mut self) {
         self.spread(Change {
             vm: self.own.clone(),
@@ -299,20 +302,20 @@
         self.spread(change.clone());
     }
 
-    /// Changes to send with the next message.
+    /// Returns the changes to send with the next message, least often sent first.
     pub fn outgoing(&mut self) -> Vec<Change> {
         let limit = spread_limit(self.peers.len());
-        self.spreading.sort_by_key(|(_, sent)| *sent);
+        self.pending.sort_by_key(|(_, sent)| *sent);
         let mut changes = Vec::new();
-        for (change, sent) in self.spreading.iter_mut().take(self.settings.changes_max) {
+        for (change, sent) in self.pending.iter_mut().take(self.settings.changes_max) {
             *sent += 1;
             changes.push(change.clone());
         }
-        self.spreading.retain(|(_, sent)| *sent < limit);
+        self.pending.retain(|(_, sent)| *sent < limit);
         changes
     }
 
-    /// All that is known, for a VM that starts while the platform is down.
+    /// Full state, for a VM that starts while the platform is down.
     pub fn known(&self) -> Vec<Change> {
         let own = Change {
             vm: self.own.clone(),
@@ -329,7 +332,7 @@
         std::iter::once(own).chain(peers).collect()
     }
 
-    /// This VM's incarnation.
+    /// Incarnation number of this VM.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
@@ -367,12 +370,12 @@
     }
 
     fn spread(&mut self, change: Change) {
-        self.spreading.retain(|(c, _)| c.vm != change.vm);
-        self.spreading.push((change, 0));
+        self.pending.retain(|(c, _)| c.vm != change.vm);
+        self.pending.push((change, 0));
     }
 }
 
-/// Times that a change is sent on: enough to reach all of `vms` VMs.
+/// Number of messages that carry a change, enough to reach all of `vms` VMs.
 fn spread_limit(vms: usize) -> u32 {
     const FACTOR: u32 = 3;
     FACTOR * (usize::BITS - vms.leading_zeros()).max(1)
--- a/src/decide/placement.rs
+++ b/src/decide/placement.rs
@@ -1,7 +1,7 @@
-//! Which VM holds which slot, and which is a service's delegate.
+//! Assignment of slots and delegates to VMs by rendezvous hashing.
 //!
-//! Rendezvous hashing: each VM has a score for each key, and the highest
-//! wins. A VM that joins or leaves moves only the keys it wins or won.
+//! Each VM has a score for each key, and the VM with the highest score is chosen. A
+//! VM that joins or leaves moves only the keys that it gains or had.
 
 use std::hash::Hasher;
 
@@ -10,7 +10,7 @@
 
 use crate::prelude::*;
 
-/// A VM that may be chosen.
+/// A VM that can be chosen.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Candidate {
     /// Name of the VM.
@@ -23,26 +23,26 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "snake_case")]
 pub enum Reason {
-    /// The holder lives and keeps it.
+    /// The current holder is available and keeps the slot.
     Kept,
-    /// Highest score in the zone of the member.
+    /// Highest score in the zone of the slot's member.
     SameZone,
-    /// Highest score of all: no VM stands in the zone.
+    /// Highest score of all VMs, because the zone has none left.
     OtherZone,
 }
 
-/// Services that are added to a map of guardians without starting over.
-const SERVICES_AT_ONCE: usize = 64;
-/// Index that stands for a service as a whole, not for one of its slots.
-const WHOLE: usize = usize::MAX;
+/// Maximum number of services that are added to a map without rebuilding it.
+const NEW_SERVICES_MAX: usize = 64;
+/// Index for a service as a whole, as opposed to one of its slots.
+const SERVICE_INDEX: usize = usize::MAX;
 
 /// Score of a VM for a key.
 pub fn score(key: &str, index: usize, vm: &str) -> u64 {
     combine(hash_key(key, index), hash_vm(vm))
 }
 
-/// Scores are made from hashes of both sides, so that a VM that compares many
-/// keys hashes each name once.
+/// Combines the hashes of a key and a VM, so that each name is hashed only once when
+/// many pairs are compared.
 fn combine(key_hash: u64, vm_hash: u64) -> u64 {
     let mut hasher = SipHasher13::new();
     hasher.write_u64(key_hash);
@@ -63,31 +63,31 @@
     hasher.finish()
 }
 
-/// VM with the highest score for a service: its guardian, which claims the
-/// service when the delegate in its row is gone.
+/// The standby delegate of a service: the VM with the highest score, which claims
+/// the delegate role when the delegate in the service's row is gone.
 pub fn standby_delegate<'a>(
     service: &str,
     vms: impl Iterator<Item = &'a Name>,
 ) -> Option<&'a Name> {
-    vms.max_by_key(|vm| score(service, WHOLE, vm))
+    vms.max_by_key(|vm| score(service, SERVICE_INDEX, vm))
 }
 
 /// Chooses holders for the slots of a service.
 ///
-/// `zones` gives the zone of the member that each slot stands beside,
-/// `current` the holders so far. A holder that still lives keeps its slot. A
-/// VM holds at most one slot of a service while there are enough VMs.
+/// `zones` gives the zone of each slot's member, `current` the present holders. A
+/// holder that is among `vms` keeps its slot. A VM holds at most one slot of a
+/// service; slots without a VM stay unassigned.
 pub fn place(
     service: &str,
     zones: &[Name],
     current: &[Option<Name>],
     vms: &[Candidate],
 ) -> Vec<Option<(Name, Reason)>> {
-    let lives = |vm: &Name| vms.iter().any(|c| c.vm == *vm);
+    let is_available = |vm: &Name| vms.iter().any(|c| c.vm == *vm);
     let mut taken = BTreeSet::new();
     let mut chosen: Vec<Option<(Name, Reason)>> = vec![None; zones.len()];
     for (slot, holder) in current.iter().enumerate().take(zones.len()) {
-        if let Some(vm) = holder.as_ref().filter(|vm| lives(vm))
+        if let Some(vm) = holder.as_ref().filter(|vm| is_available(vm))
             && taken.insert(vm.clone())
         {
             chosen[slot] = Some((vm.clone(), Reason::Kept));
@@ -124,24 +124,24 @@
     best(false).map(|found| (found.vm.clone(), Reason::OtherZone))
 }
 
-/// The guardian of each service, kept up to date as VMs come and go.
+/// The standby delegate of each service, updated as VMs join and leave.
 ///
-/// A VM that joins costs one score per service; a VM that leaves costs one
-/// score per VM for each service it guarded.
+/// A VM that joins costs one score per service. A VM that leaves costs one score per
+/// VM for each service that it was standby of.
 #[derive(Clone, Debug, Default)]
 pub struct StandbyMap {
     vms: BTreeMap<Name, u64>,
-    services: BTreeMap<Name, Guarded>,
+    services: BTreeMap<Name, StandbyEntry>,
 }
 
-/// A service with its guardian.
+/// The standby delegate of one service.
 #[derive(Clone, Debug)]
-struct Guarded {
+struct StandbyEntry {
     hash: u64,
     best: Option<(u64, Name)>,
 }
 
-impl Guarded {
+impl StandbyEntry {
     fn consider(&mut self, vm: &Name, vm_hash: u64) {
         let score = combine(self.hash, vm_hash);
         if self.best.as_ref().is_none_or(|(best, _)| score > *best) {
@@ -158,29 +158,29 @@
 }
 
 impl StandbyMap {
-    /// Adds services. Many at once make the map start over with no VM, so that
-    /// [`StandbyMap::converge`] can spread the work.
+    /// Adds services. If there are many new ones, all VMs are removed from the map,
+    /// so that [`StandbyMap::converge`] adds them again in steps.
     pub fn add_services<'a>(&mut self, services: impl Iterator<Item = &'a Name>) {
         let known = &self.services;
         let new: Vec<Name> = services
             .filter(|s| !known.contains_key(*s))
             .cloned()
             .collect();
-        if new.len() > SERVICES_AT_ONCE {
+        if new.len() > NEW_SERVICES_MAX {
             self.vms.clear();
             self.services
                 .values_mut()
-                .for_each(|guarded| guarded.best = None);
+                .for_each(|entry| entry.best = None);
         }
         for service in new {
-            let hash = hash_key(&service, WHOLE);
-            let mut guarded = Guarded { hash, best: None };
-            guarded.consider_all(&self.vms);
-            self.services.insert(service, guarded);
+            let hash = hash_key(&service, SERVICE_INDEX);
+            let mut entry = StandbyEntry { hash, best: None };
+            entry.consider_all(&self.vms);
+            self.services.insert(service, entry);
         }
     }
 
-    /// Removes the services that `keep` does not name.
+    /// Removes the services for which `keep` returns false.
     pub fn retain_services(&mut self, keep: impl Fn(&Name) -> bool) {
         self.services.retain(|service, _| keep(service));
     }
@@ -191,8 +191,8 @@
         if self.vms.insert(vm.clone(), vm_hash).is_some() {
             return;
         }
-        for guarded in self.services.values_mut() {
-            guarded.consider(vm, vm_hash);
+        for entry in self.services.values_mut() {
+            entry.consider(vm, vm_hash);
         }
     }
 
@@ -201,15 +201,15 @@
         if self.vms.remove(vm).is_none() {
             return;
         }
-        for guarded in self.services.values_mut() {
-            if guarded.best.as_ref().is_some_and(|(_, best)| best == vm) {
-                guarded.consider_all(&self.vms);
+        for entry in self.services.values_mut() {
+            if entry.best.as_ref().is_some_and(|(_, best)| best == vm) {
+                entry.consider_all(&self.vms);
             }
         }
     }
 
-    /// Makes the VMs more like `vms`, with at most `most` changes; `true` once
-    /// they are equal. Before that, guardians are not final.
+    /// Brings the map's VMs closer to `vms` with at most `most` changes. Returns
+    /// `true` once they are equal; until then the standby delegates are not final.
     pub fn converge(&mut self, vms: &BTreeSet<Name>, most: usize) -> bool {
         let gone = self.vms.keys().filter(|vm| !vms.contains(*vm));
         let gone: Vec<Name> = gone.take(most).cloned().collect();
@@ -225,16 +225,17 @@
         self.vms.len() == vms.len() && gone.len() < most
     }
 
-    /// Guardian of a service.
+    /// Standby delegate of a service.
     pub fn standby_of(&self, service: &str) -> Option<&Name> {
-        let guarded = self.services.get(service)?;
-        guarded.best.as_ref().map(|(_, vm)| vm)
+        let entry = self.services.get(service)?;
+        entry.best.as_ref().map(|(_, vm)| vm)
     }
 
-    /// Services that a VM guards.
+    /// Services of which a VM is the standby delegate.
     pub fn services_of(&self, vm: &str) -> Vec<Name> {
-        let is_its = |guarded: &Guarded| guarded.best.as_ref().is_some_and(|(_, g)| **g == *vm);
-        let services = self.services.iter().filter(|(_, g)| is_its(g));
+        let is_standby =
+            |entry: &StandbyEntry| entry.best.as_ref().is_some_and(|(_, best)| **best == *vm);
+        let services = self.services.iter().filter(|(_, entry)| is_standby(entry));
         services.map(|(service, _)| service.clone()).collect()
     }
 }
