--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -1,6 +1,7 @@
-//! Pure decisions: no I/O, no clock, no global randomness.
+//! Pure decision logic: no I/O, no clock, no global randomness.
 //!
-//! Time, seeds and observations come in as arguments; typed actions go out.
+//! Times, random generators and observations are arguments; decisions and actions
+//! are return values.
 
 pub mod acknowledge;
 pub mod admission;
--- a/src/decide/retry.rs
+++ b/src/decide/retry.rs
@@ -1,4 +1,4 @@
-//! Delay before a request that was proved not run is tried again.
+//! Delay before a request that certainly was not executed is retried.
 
 /// Exponential backoff.
 #[derive(Clone, Copy, Debug)]
@@ -10,7 +10,7 @@
 }
 
 impl Backoff {
-    /// Delay before the attempt that follows `failures` failed ones, in milliseconds.
+    /// Delay before the next attempt after `failures` failed ones, in milliseconds.
     pub fn delay_ms(&self, failures: u32) -> u64 {
         let doublings = failures.saturating_sub(1).min(16);
         self.base_ms.saturating_mul(1 << doublings).min(self.max_ms)
--- a/src/decide/rollout.rs
+++ b/src/decide/rollout.rs
@@ -1,6 +1,6 @@
-//! Which configuration version a VM holds in force, and how it gets there.
+//! Configuration versions, and how a VM updates to the newest one.
 //!
-//! The head row names a snapshot and the changes since. A VM that is a few
+//! The head row names a snapshot and the changes since. A VM that is only a few
 //! versions behind fetches only the changes.
 
 use serde::{Deserialize, Serialize};
@@ -10,38 +10,38 @@
     settings::{ServiceSettings, SiteSettings},
 };
 
-/// Changes after which the next one writes a new snapshot.
+/// Number of versions after which a change also writes a new snapshot.
 pub const SNAPSHOT_INTERVAL: u64 = 16;
-/// Changes kept in the head row.
+/// Maximum number of changes listed in the head row.
 pub const CHANGES_MAX: usize = 16;
 
-/// Changes named when other VMs are told of a head.
+/// Maximum number of changes listed in an update that is sent to other VMs.
 const UPDATE_CHANGES: usize = 2;
 
-/// A change that made a version.
+/// Reference to the change that created a version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeRef {
-    /// Version it made.
+    /// Version that the change created.
     pub version: u64,
-    /// Digest of the object that holds it.
+    /// Digest of the object that contains it.
     pub digest: Name,
-    /// Id that its operator's tool gave it.
+    /// Id that the operator's tool gave it.
     pub change_id: Name,
 }
 
-/// A snapshot of a whole configuration.
+/// Reference to a snapshot of the whole configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotRef {
-    /// Its version.
+    /// Version of the configuration.
     pub version: u64,
-    /// Digest of the object that holds it.
+    /// Digest of the object that contains it.
     pub digest: Name,
 }
 
 /// The head row of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
-    /// Version; it only rises.
+    /// Newest version; it only increases.
     pub version: u64,
     /// Newest snapshot.
     pub snapshot: SnapshotRef,
@@ -49,32 +49,32 @@
     pub changes: Vec<ChangeRef>,
 }
 
-/// What one version changed.
+/// The changes of one version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SiteChange {
-    /// Version it made.
+    /// Version that the change created.
     pub version: u64,
-    /// Services that were set, or removed with `None`.
+    /// Services that were added or changed; `None` for those that were removed.
     pub services: BTreeMap<Name, Option<ServiceSettings>>,
 }
 
-/// How a VM reaches the head.
+/// How a VM updates to a head.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Plan {
-    /// The head is in force already.
+    /// The head is already in force.
     Keep,
-    /// The head is older than what is in force: a late message.
+    /// The head is older than the version in force, because its message was late.
     RefuseOlder,
     /// Apply these changes in order.
     Changes(Vec<ChangeRef>),
     /// Start from the snapshot, then apply these changes.
     Snapshot(SnapshotRef, Vec<ChangeRef>),
-    /// This head names too few changes: read the head row.
+    /// The head lists too few changes; read the head row.
     ReadRow,
 }
 
 impl Head {
-    /// The head before any configuration was accepted.
+    /// The head before the first configuration is accepted.
     pub fn empty() -> Head {
         let snapshot = SnapshotRef {
             version: 0,
@@ -103,8 +103,8 @@
         }
     }
 
-    /// The head as it is told to other VMs: with only its latest changes. Who
-    /// is further behind asks for them.
+    /// The head as sent to other VMs, with only its latest changes. A VM that is
+    /// further behind asks for the others.
     pub fn for_update(&self) -> Head {
         let surplus = self.changes.len().saturating_sub(UPDATE_CHANGES);
         Head {
@@ -114,18 +114,18 @@
         }
     }
 
-    /// Whether the next change must write a snapshot too.
+    /// Whether the next change must also write a snapshot.
     pub fn needs_snapshot(previous: Option<&Head>) -> bool {
         previous.is_none_or(|h| h.version + 1 >= h.snapshot.version + SNAPSHOT_INTERVAL)
     }
 
-    /// Version that a change made, if the row still tells.
+    /// Version that a change created, if the head row still lists the change.
     pub fn version_of(&self, change_id: &str) -> Option<u64> {
         let found = self.changes.iter().find(|c| &*c.change_id == change_id);
         found.map(|c| c.version)
     }
 
-    /// How a VM that has `in_force` reaches this head.
+    /// How a VM whose version is `in_force` updates to this head.
     pub fn plan(&self, in_force: Option<u64>) -> Plan {
         match in_force {
             Some(version) if version == self.version => return Plan::Keep,
@@ -144,13 +144,13 @@
     fn changes_after(&self, version: u64) -> Option<Vec<ChangeRef>> {
         let after = self.changes.iter().filter(|c| c.version > version);
         let changes: Vec<ChangeRef> = after.cloned().collect();
-        let is_whole = changes.len() as u64 == self.version - version;
-        is_whole.then_some(changes)
+        let is_complete = changes.len() as u64 == self.version - version;
+        is_complete.then_some(changes)
     }
 }
 
 impl SiteChange {
-    /// What turns `old` into `new`.
+    /// The change from `old` to `new`.
     pub fn between(version: u64, old: &SiteSettings, new: &SiteSettings) -> SiteChange {
         let mut services = BTreeMap::new();
         for (name, settings) in &new.services {
@@ -166,7 +166,7 @@
         SiteChange { version, services }
     }
 
-    /// Applies the change.
+    /// Applies the change to `site`.
     pub fn apply(&self, site: &mut SiteSettings) {
         for (name, settings) in &self.services {
             match settings {
--- a/src/decide/route.rs
+++ b/src/decide/route.rs
@@ -1,4 +1,4 @@
-//! Which member serves a read.
+//! Choice of the member that serves a slot's read.
 
 use super::{
     age::AgeTracker,
@@ -6,17 +6,17 @@
 };
 use crate::prelude::*;
 
-/// Position that a session must see.
+/// The minimum position that a session must see.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Floor {
-    /// All up to here.
+    /// Everything up to this position.
     Known(Position),
-    /// The session may have written anywhere; a barrier must find out.
+    /// Unknown, because the session's writes are unknown; a barrier determines it.
     Unknown,
 }
 
 impl Floor {
-    /// Raises the floor to a position that the session has reached.
+    /// Raises a known floor to a position that the session has reached.
     pub fn raise(&mut self, position: Position) {
         match self {
             Floor::Known(known) => *known = position.max(*known),
@@ -25,20 +25,20 @@
     }
 }
 
-/// What a read asks for.
+/// Requirements of a read.
 #[derive(Clone, Copy, Debug)]
 pub struct ReadRequest {
     /// Position the session must see.
     pub floor: Floor,
-    /// Oldest data the caller accepts, in milliseconds; `None` for any age.
+    /// Maximum age of the data in milliseconds; `None` for any age.
     pub max_age_ms: Option<u64>,
     /// Time the request arrived, in milliseconds.
     pub arrived_ms: u64,
-    /// Time after which a replica is not waited for, in milliseconds.
+    /// Time until which to wait for a replica to catch up, in milliseconds.
     pub wait_until_ms: u64,
 }
 
-/// Why a read goes where it goes.
+/// Reason for the choice of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display, strum::IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
 pub enum Reason {
@@ -46,42 +46,42 @@
     NearReplica,
     /// A replica in another zone has reached the position.
     FarReplica,
-    /// No replica has reached the position in time.
+    /// No replica reached the position in time.
     ReplicasBehind,
-    /// No replica's data is young enough.
+    /// No replica's data is recent enough.
     ReplicasTooOld,
-    /// No replica can be used.
+    /// No replica is usable.
     NoReplica,
 }
 
-/// Decision for a read.
+/// Decision about a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
     /// Send it to this member.
     Member(usize, Reason),
-    /// Ask the members for reports newer than `asked_after_ms`.
+    /// Ask the members for new reports, then decide again.
     Refresh {
         /// Reports must have been asked for after this time, in milliseconds.
         asked_after_ms: u64,
     },
-    /// Wait for a replica to catch up, until this time in milliseconds.
+    /// Wait for a replica to catch up.
     Wait {
-        /// Time to decide again, in milliseconds.
+        /// Time at which to decide again, in milliseconds.
         until_ms: u64,
     },
-    /// Take a barrier first: the session's position is not known.
+    /// Compute a barrier first, because the session's position is unknown.
     Barrier,
-    /// No member can serve it now.
+    /// No member can serve the read now.
     Nobody,
 }
 
-/// Decides where a read goes.
+/// Chooses the member that serves a read.
 ///
-/// A replica serves when its replayed position has reached the floor and its
-/// data is young enough. A near replica goes first, then the one with the
-/// fewest requests. When all are behind, the replicas are asked once, then
-/// waited for until `wait_until_ms` unless they are known to be further behind
-/// than that, and then the primary serves.
+/// A replica can serve if its replayed position has reached the floor and its data
+/// is recent enough. Replicas in the zone are preferred, then the one with the
+/// fewest requests. If none can serve, the replicas are asked for new reports once,
+/// then given time to catch up until `wait_until_ms`, unless all of them are
+/// expected to take longer. After that the primary serves.
 pub fn route(
     request: &ReadRequest,
     members: &[MemberView],
@@ -91,11 +91,11 @@
     let Floor::Known(floor) = request.floor else {
         return Decision::Barrier;
     };
-    let leads_floor = |i: &usize| {
+    let covers_floor = |i: &usize| {
         let observed = members[*i].observation;
         observed.is_some_and(|o| o.status.term >= floor.term)
     };
-    let primary = member::primary(members).filter(leads_floor);
+    let primary = member::primary(members).filter(covers_floor);
     let replicas: Vec<usize> = (0..members.len())
         .filter(|i| Some(*i) != primary && members[*i].is_usable())
         .collect();
@@ -104,9 +104,9 @@
         let observed = members[*i].observation;
         observed.is_some_and(|o| o.status.has_replayed(floor))
     };
-    let mut able: Vec<usize> = replicas.iter().copied().filter(has_floor).collect();
-    able.retain(is_fresh);
-    let best = able
+    let mut candidates: Vec<usize> = replicas.iter().copied().filter(has_floor).collect();
+    candidates.retain(is_fresh);
+    let best = candidates
         .into_iter()
         .min_by_key(|i| (!members[*i].is_near, members[*i].in_use));
     if let Some(best) = best {
@@ -119,21 +119,21 @@
     if replicas.is_empty() {
         return to_primary(primary, Reason::NoReplica);
     }
-    let asked_since = replicas.iter().all(|i| {
+    let is_refreshed = replicas.iter().all(|i| {
         let observed = members[*i].observation;
         observed.is_some_and(|o| o.is_after(request.arrived_ms))
     });
-    if !asked_since {
+    if !is_refreshed {
         return Decision::Refresh {
             asked_after_ms: request.arrived_ms,
         };
     }
-    let is_hopeless = |i: &usize| {
+    let is_too_far_behind = |i: &usize| {
         let replayed = members[*i].observation.map(|o| o.status.replayed());
         let expected_ms = replayed.and_then(|r| ages.expected_ms(r, floor, now_ms));
         expected_ms.is_some_and(|expected_ms| now_ms + expected_ms > request.wait_until_ms)
     };
-    let may_catch_up = !replicas.iter().all(is_hopeless);
+    let may_catch_up = !replicas.iter().all(is_too_far_behind);
     if now_ms < request.wait_until_ms && may_catch_up {
         return Decision::Wait {
             until_ms: request.wait_until_ms,
--- a/src/decide/takeover.rs
+++ b/src/decide/takeover.rs
@@ -1,30 +1,32 @@
-//! Replacing a primary without losing an acknowledged commit.
+//! Replacement of a primary without loss of acknowledged commits.
 //!
-//! A commit is acknowledged by the primary once one other member has received
-//! it. So before a successor is chosen, either the primary has stepped down or
-//! all the others have stopped receiving: then nothing more is acknowledged.
+//! The primary acknowledges a commit once one other member has received it. So
+//! before a successor is chosen, either the primary must have stepped down or all
+//! the other members must have stopped receiving. After that no further commit is
+//! acknowledged.
 
 use crate::prelude::*;
 
-/// What a member answered when it was fenced.
+/// Answer of a member that was fenced: it stepped down as primary, or stopped
+/// receiving from it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fenced {
     /// Last position received.
     pub received: Position,
 }
 
-/// A member of the group whose primary is replaced.
+/// A member of the group whose primary is being replaced.
 #[derive(Clone, Debug)]
 pub struct Candidate {
     /// Id.
     pub member: Name,
-    /// Whether it is the primary that is replaced.
+    /// Whether it is the primary that is being replaced.
     pub is_primary: bool,
-    /// Whether it is leaving: its log goes with it.
+    /// Whether it is leaving and will take its log with it.
     pub is_leaving: bool,
-    /// Whether the platform says that it is gone for good.
+    /// Whether the platform reports it as permanently gone.
     pub is_gone: bool,
-    /// Its answer, once it stepped down or stopped receiving.
+    /// Its answer, once it has stepped down or stopped receiving.
     pub fenced: Option<Fenced>,
 }
 
@@ -33,7 +35,7 @@
 pub enum Choice {
     /// Promote this member.
     Promote(Name),
-    /// Acknowledged commits may be missing from all members that answered.
+    /// Wait, because all members that answered may lack acknowledged commits.
     Wait(WaitReason),
 }
 
@@ -41,50 +43,53 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "snake_case")]
 pub enum WaitReason {
-    /// Nobody answered.
+    /// No member answered.
     NobodyFenced,
-    /// The primary and a member that was not heard may still acknowledge.
+    /// The primary may still acknowledge commits with a member that did not answer.
     PrimaryMayAcknowledge,
-    /// Members that answered lack commits that the primary may have acknowledged.
+    /// The members that answered lack commits that the primary may have
+    /// acknowledged.
     ReplicasBehind,
 }
 
-/// Chooses the successor from what the members answered.
+/// Chooses the successor by the answers of the members.
 ///
-/// - The primary stepped down: all that was acknowledged is in its log. A
-///   member as advanced is chosen, else the primary itself, unless all others
-///   answered: then what none of them received was never acknowledged.
-/// - The primary is silent: all others must have answered, or be gone.
+/// - If the primary stepped down, its log has every acknowledged commit. Another
+///   member that is as advanced is chosen, otherwise the primary itself. If all the
+///   others answered, the most advanced of them is chosen, because a commit that
+///   none of them received was never acknowledged.
+/// - If the primary did not answer, all the others must have answered or be gone.
 pub fn choose(candidates: &[Candidate]) -> Choice {
     let others = || candidates.iter().filter(|c| !c.is_primary);
-    let heard = || others().filter(|c| c.fenced.is_some());
-    let all_heard = others().all(|c| c.fenced.is_some() || c.is_gone);
+    let answered = || others().filter(|c| c.fenced.is_some());
+    let all_answered = others().all(|c| c.fenced.is_some() || c.is_gone);
     let primary = candidates.iter().find(|c| c.is_primary);
     let primary_fenced = primary.and_then(|p| p.fenced);
-    let best = heard().max_by_key(|c| (c.fenced.map(received), !c.is_leaving));
+    let best = answered().max_by_key(|c| (c.fenced.map(received), !c.is_leaving));
     let Some(best) = best else {
         return match (primary, primary_fenced) {
-            (Some(primary), Some(_)) if !all_heard || others().next().is_none() => {
+            (Some(primary), Some(_)) if !all_answered || others().next().is_none() => {
                 Choice::Promote(primary.member.clone())
             }
             _ => Choice::Wait(WaitReason::NobodyFenced),
         };
     };
-    if all_heard {
+    if all_answered {
         return Choice::Promote(prefer_staying(candidates, best, primary_fenced));
     }
     let Some(at_primary) = primary_fenced else {
         return Choice::Wait(WaitReason::PrimaryMayAcknowledge);
     };
-    let is_level = best.fenced.map(received) >= Some(at_primary.received);
-    match (is_level, primary) {
+    let is_as_advanced = best.fenced.map(received) >= Some(at_primary.received);
+    match (is_as_advanced, primary) {
         (true, _) => Choice::Promote(best.member.clone()),
         (false, Some(primary)) => Choice::Promote(primary.member.clone()),
         (false, None) => Choice::Wait(WaitReason::ReplicasBehind),
     }
 }
 
-/// The most advanced member, or one as advanced that stays.
+/// Returns `best`, or if it is leaving, the primary, provided that it stepped down
+/// and stays.
 fn prefer_staying(
     candidates: &[Candidate],
     best: &Candidate,
@@ -93,7 +98,7 @@
     if !best.is_leaving {
         return best.member.clone();
     }
-    // A primary that stepped down holds all that its replicas hold.
+    // A primary that stepped down has everything that its replicas have.
     let primary = candidates.iter().find(|c| c.is_primary && !c.is_leaving);
     match (primary, primary_fenced) {
         (Some(primary), Some(_)) => primary.member.clone(),
@@ -105,38 +110,38 @@
     fenced.received
 }
 
-/// What is known of a group's primary.
+/// Health of a group's primary, as seen by this VM.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PrimaryHealth {
     /// Whether a primary is known at all.
     pub is_known: bool,
-    /// Whether it is leaving or gone from the platform's list.
+    /// Whether it is leaving or no longer in the platform's list.
     pub is_leaving: bool,
-    /// Time since which it has not answered, in milliseconds.
+    /// Time for which it has not answered, in milliseconds.
     pub silent_ms: u64,
-    /// Questions in a row that it did not answer.
+    /// Number of consecutive questions that it did not answer.
     pub failures: u32,
-    /// Time since which commits wait while it answers, in milliseconds.
+    /// Time for which commits have been stuck although it answers, in milliseconds.
     pub stuck_ms: u64,
-    /// Time since which the replicas do not receive, held by an earlier
-    /// attempt, in milliseconds.
+    /// Time for which replicas have been fenced by an earlier attempt and receive
+    /// nothing, in milliseconds.
     pub held_ms: u64,
-    /// Time since which no primary is known, in milliseconds.
+    /// Time for which no primary has been known, in milliseconds.
     pub missing_ms: u64,
-    /// Whether the other members answer: otherwise this VM is cut off itself.
+    /// Whether another member answers; if none does, this VM is cut off itself.
     pub others_answer: bool,
-    /// Whether this VM is to go to the primary itself. Silence at the end of
-    /// another VM's connections may be that VM's.
+    /// Whether this VM connects to the primary directly. Through another VM, missing
+    /// answers may be that VM's fault.
     pub connects_to_primary: bool,
-    /// Whether this VM is to go to any of the members itself: many others only
-    /// go through such VMs, and leave the service to them.
+    /// Whether this VM connects to any member directly. Only such VMs replace a
+    /// primary; the many others, which go through them, do not.
     pub connects_to_any_member: bool,
 }
 
-/// A commit that waits at a primary which answers.
+/// A commit that waits on a primary that answers.
 ///
-/// It is stuck only once a replica was seen to lack what the primary holds. A
-/// late answer alone may be lost, or the primary may have much to do.
+/// It counts as stuck only once a replica is known to lack it. A late answer alone
+/// proves nothing: it may have been lost, or the primary may be busy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StuckCommit {
     position: Option<Position>,
@@ -144,13 +149,13 @@
 }
 
 impl StuckCommit {
-    /// Takes the position that the primary reported while the commit waits.
+    /// Records the position that the primary reported while the commit waits.
     pub fn note_primary(&mut self, received: Position) {
         self.position.get_or_insert(received);
     }
 
-    /// Takes what a replica reported at `now_ms`; `true` if that proves that
-    /// commits go on.
+    /// Records the position that a replica reported at `now_ms`. Returns `true` if
+    /// the replica has the commit, so that commits make progress.
     pub fn note_replica(&mut self, received: Position, now_ms: u64) -> bool {
         let Some(position) = self.position else {
             return false;
@@ -162,7 +167,7 @@
         false
     }
 
-    /// Time since which a replica is known to lack the commit, in milliseconds.
+    /// Time for which a replica has been known to lack the commit, in milliseconds.
     pub fn stuck_ms(&self, now_ms: u64) -> u64 {
         let since_ms = self.lacking_since_ms;
         since_ms.map_or(0, |since_ms| now_ms.saturating_sub(since_ms))
@@ -174,7 +179,7 @@
     }
 }
 
-/// Why a primary is replaced.
+/// Reason for replacing a primary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display, strum::IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
 pub enum Reason {
@@ -182,30 +187,31 @@
     Leaving,
     /// It does not answer.
     Silent,
-    /// It answers but its commits are not received by any replica.
+    /// It answers, but no replica receives its commits.
     Stuck,
-    /// An earlier attempt was left unfinished.
+    /// An earlier replacement was left unfinished.
     Unfinished,
-    /// No member leads.
+    /// No member is primary.
     NoPrimary,
 }
 
 /// Limits of the decision to replace a primary.
 #[derive(Clone, Copy, Debug)]
 pub struct TakeoverSettings {
-    /// Silence after which a primary counts as failed, in milliseconds.
+    /// Time without an answer after which a primary counts as failed, in
+    /// milliseconds.
     pub silent_ms: u64,
-    /// Unanswered questions that must have been sent meanwhile.
+    /// Minimum number of unanswered questions before a primary counts as failed.
     pub failures: u32,
-    /// Time after which commits that wait count as stuck, in milliseconds.
+    /// Time after which waiting commits count as stuck, in milliseconds.
     pub stuck_ms: u64,
-    /// Time after which an attempt counts as left unfinished, in milliseconds.
+    /// Time after which an attempt counts as unfinished, in milliseconds.
     pub unfinished_ms: u64,
-    /// Time after which a group without a primary gets one, in milliseconds.
+    /// Time without a primary after which one is promoted, in milliseconds.
     pub missing_ms: u64,
 }
 
-/// Decides whether the primary is to be replaced.
+/// Decides whether to replace the primary, and returns the reason.
 pub fn replacement_reason(health: &PrimaryHealth, settings: &TakeoverSettings) -> Option<Reason> {
     if !health.others_answer || !health.connects_to_any_member {
         return None;
