--- a/tests/decide_classify.rs
+++ b/tests/decide_classify.rs
@@ -1,4 +1,4 @@
-//! Classification of statements.
+//! Tests of statement classification.
 
 use foxtailknot::decide::classify::{Class, classify};
 use yare::parameterized;
--- a/tests/decide_control.rs
+++ b/tests/decide_control.rs
@@ -1,4 +1,4 @@
-//! Decisions about placement, membership, configuration versions and admission.
+//! Tests of placement, membership, configuration versions and admission.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_holder_that_works_keeps_its_slot() {
+fn an_available_holder_keeps_its_slot() {
     let vms = candidates(13);
     let first = place("s", &zones(), &[None, None, None], &vms);
     let current: Vec<Option<Name>> = first
@@ -64,13 +64,13 @@
 }
 
 #[test]
-fn the_guardian_map_agrees_with_the_whole_computation() {
+fn the_standby_map_agrees_with_the_full_computation() {
     let mut map = StandbyMap::default();
     let services: Vec<Name> = (0..50).map(|i| format!("s-{i}").into()).collect();
     map.add_services(services.iter());
     let mut vms = names(20);
     for gone in [0, 7, 19] {
-        // In steps of three, as a daemon does it in larger ones.
+        // In steps of three VMs; a daemon takes larger steps.
         while !map.converge(&vms, 3) {}
         for service in &services {
             assert_eq!(
@@ -80,8 +80,8 @@
         }
         vms.remove(&*format!("vm-{gone}"));
     }
-    let guarded: usize = vms.iter().map(|vm| map.services_of(vm).len()).sum();
-    assert!(guarded <= services.len());
+    let assigned: usize = vms.iter().map(|vm| map.services_of(vm).len()).sum();
+    assert!(assigned <= services.len());
 }
 
 fn place_of(zone: &str) -> Place {
@@ -118,7 +118,7 @@
     assert!(own.tick(2_099).is_empty());
     assert_eq!(own.tick(2_100), std::slice::from_ref(&other));
     assert!(!own.is_working("b"));
-    // The list lags: it does not revive the dead, nor does an old answer.
+    // Neither the list, which lags, nor an old answer revives a dead VM.
     own.listed(2_200, &other, &place_of("zone-1"), false);
     own.answered(2_300, &other, 3);
     assert!(!own.is_working("b"));
@@ -131,9 +131,9 @@
     let mut own = member("a");
     own.merge(0, &[change("a", 5, Liveness::Suspect)]);
     assert_eq!(own.incarnation(), 6);
-    let told = own.outgoing();
+    let sent = own.outgoing();
     assert_eq!(
-        (told[0].incarnation, told[0].liveness),
+        (sent[0].incarnation, sent[0].liveness),
         (6, Liveness::Alive)
     );
     own.merge(0, &[change("a", 3, Liveness::Dead)]);
@@ -155,13 +155,13 @@
 fn head(versions: u64) -> Head {
     let mut head = Head::empty();
     for version in 1..=versions {
-        let made = ChangeRef {
+        let change_ref = ChangeRef {
             version,
             digest: format!("d{version}").into(),
             change_id: format!("c{version}").into(),
         };
         let snapshot = Head::needs_snapshot(Some(&head)).then(|| format!("s{version}").into());
-        head = Head::next(Some(&head), made, snapshot);
+        head = Head::next(Some(&head), change_ref, snapshot);
     }
     head
 }
@@ -181,7 +181,7 @@
     far_behind = { 40, Some(2), Some(8) },
     new_vm_starts_from_the_snapshot = { 40, None, Some(8) },
 )]
-fn versions_only_rise(versions: u64, in_force: Option<u64>, changes: Option<usize>) {
+fn versions_only_increase(versions: u64, in_force: Option<u64>, changes: Option<usize>) {
     let plan = head(versions).plan(in_force);
     assert_eq!(refs(&plan), changes, "{plan:?}");
     if in_force > Some(versions) {
@@ -190,11 +190,11 @@
 }
 
 #[test]
-fn news_that_name_too_little_send_to_the_row() {
-    let news = head(40).for_update();
-    assert_eq!(refs(&news.plan(Some(38))), Some(2));
-    assert_eq!(news.plan(Some(37)), Plan::ReadRow);
-    assert_eq!(news.plan(None), Plan::ReadRow);
+fn updates_with_too_few_changes_lead_to_the_head_row() {
+    let update = head(40).for_update();
+    assert_eq!(refs(&update.plan(Some(38))), Some(2));
+    assert_eq!(update.plan(Some(37)), Plan::ReadRow);
+    assert_eq!(update.plan(None), Plan::ReadRow);
     assert_eq!(head(40).version_of("c30"), Some(30));
     assert_eq!(head(40).version_of("c41"), None);
 }
@@ -222,10 +222,10 @@
     for (deadline_ms, name) in [(300, "c"), (100, "a"), (200, "b")] {
         queue.push(0, deadline_ms, name);
     }
-    // Three wait and a fourth is refused whatever its deadline.
+    // Three requests wait, so a fourth is refused regardless of its deadline.
     assert!(matches!(queue.admit(1_000, 1), Admission::Refuse { .. }));
     assert_eq!(queue.pop(), Some("a"));
-    // Two ahead and itself at 10 ms each on one server take 30 ms.
+    // Two requests ahead and the new one, 10 ms each on one connection, take 30 ms.
     assert_eq!(queue.admit(29, 1), Admission::Refuse { retry_after_ms: 1 });
     assert_eq!(queue.admit(30, 1), Admission::Queue);
     assert_eq!(queue.admit(15, 2), Admission::Queue);
--- a/tests/decide_reads.rs
+++ b/tests/decide_reads.rs
@@ -1,5 +1,5 @@
-//! Decisions about reads and commits: barriers, routes, acknowledgements and
-//! the fate of unconfirmed commits.
+//! Tests of barriers, read routing, acknowledgement and the outcome of unconfirmed
+//! commits.
 
 use foxtailknot::{
     decide::{
@@ -63,11 +63,11 @@
         [primary(1, 100, 10), replica(1, 60, 10), replica(1, 50, 4)], None },
     a_cut_off_primary_is_outvoted = {
         [primary(1, 130, 10), primary(2, 100, 10), replica(2, 90, 10)], Some(at(2, 100)) },
-    a_replica_is_not_in_step = {
+    a_replica_is_not_synchronized = {
         [silent(primary(1, 0, 0)), primary(2, 100, 10), view(Role::Replica, 2, 1, 130, 10)], None },
     an_answer_of_the_same_millisecond_is_awaited = {
         [primary(1, 100, 10), replica(1, 60, 10), replica(1, 50, 5)], None },
-    nobody_confirms_the_primary = {
+    no_member_confirms_the_primary = {
         [primary(1, 100, 10), silent(replica(1, 60, 0)), silent(replica(1, 50, 0))], None },
 )]
 fn barrier_by_majority(members: [MemberView; 3], expected: Option<Position>) {
@@ -86,16 +86,16 @@
 }
 
 #[parameterized(
-    a_replica_holds_it = { AcknowledgeMode::Majority, replica(1, 50, 0), Decision::Acknowledge },
+    a_replica_has_it = { AcknowledgeMode::Majority, replica(1, 50, 0), Decision::Acknowledge },
     a_replica_lacks_it = { AcknowledgeMode::Majority, replica(1, 49, 30), Decision::Wait },
-    a_replica_promised_a_higher_term = {
+    a_replica_accepted_a_higher_term = {
         AcknowledgeMode::Majority, view(Role::Replica, 2, 1, 50, 30), Decision::Unknown },
     a_replica_follows_another_log = { AcknowledgeMode::Majority, replica(2, 90, 30), Decision::Unknown },
     term_confirmed_after = { AcknowledgeMode::Term, replica(1, 0, 21), Decision::Acknowledge },
     term_confirmed_before = { AcknowledgeMode::Term, replica(1, 50, 19), Decision::Wait },
     term_confirmed_in_the_same_millisecond = {
         AcknowledgeMode::Term, replica(1, 50, 20), Decision::Wait },
-    nothing_is_asked = { AcknowledgeMode::Primary, replica(2, 0, 0), Decision::Acknowledge },
+    no_confirmation_is_needed = { AcknowledgeMode::Primary, replica(2, 0, 0), Decision::Acknowledge },
 )]
 fn acknowledgement(mode: AcknowledgeMode, other: MemberView, expected: Decision) {
     let commit = Commit {
@@ -112,7 +112,7 @@
     ends_before_it = { at(2, 40), None, CommitOutcome::Discarded },
     same_term = { at(1, 90), Some(1), CommitOutcome::Open },
 )]
-fn fate_of_a_commit(now: Position, found: Option<u64>, expected: CommitOutcome) {
+fn outcome_of_a_commit(now: Position, found: Option<u64>, expected: CommitOutcome) {
     let commit = Commit {
         position: at(1, 50),
         primary: 0,
@@ -121,7 +121,7 @@
     assert_eq!(commit_outcome(&commit, now, 1, found), expected);
 }
 
-/// An inherited commit is safe only in the successor's own term.
+/// An inherited commit is safe only once it is confirmed in the new primary's term.
 #[test]
 fn an_inherited_commit_waits_in_the_new_term() {
     let commit = Commit {
@@ -130,7 +130,7 @@
         answered_ms: 20,
     };
     let CommitOutcome::Inherited(inherited) = commit_outcome(&commit, at(3, 90), 1, Some(1)) else {
-        panic!("the successor holds it");
+        panic!("the new primary has the commit");
     };
     assert_eq!(inherited.position, at(3, 50));
     assert_eq!(inherited.primary, 1);
@@ -176,7 +176,7 @@
 }
 
 #[parameterized(
-    young_enough = { 400, route::Decision::Member(1, Reason::FarReplica) },
+    recent_enough = { 400, route::Decision::Member(1, Reason::FarReplica) },
     too_old = { 200, route::Decision::Member(0, Reason::ReplicasTooOld) },
 )]
 fn routes_by_age(max_age_ms: u64, expected: route::Decision) {
@@ -197,9 +197,9 @@
     assert_eq!(route(&request, &members, &ages, NOW_MS), expected);
 }
 
-/// A replica that is known to be a second behind is not waited for.
+/// A read does not wait for a replica that is known to be a second behind.
 #[test]
-fn does_not_wait_in_vain() {
+fn does_not_wait_for_a_replica_far_behind() {
     let mut ages = AgeTracker::default();
     ages.observe(0, at(1, 40));
     ages.observe(950, at(1, 50));
--- a/tests/decide_relay.rs
+++ b/tests/decide_relay.rs
@@ -1,4 +1,5 @@
-//! Decisions of the relay: proofs, floors, connections, windows, successors.
+//! Tests of the relay's decisions: leadership checks, floors, connections, request
+//! windows, queues, takeovers and holders.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -27,7 +28,7 @@
     Position::new(term, Lsn(lsn))
 }
 
-fn said(asked_us: u64, term: u64) -> TermReport {
+fn term_report(asked_us: u64, term: u64) -> TermReport {
     TermReport { asked_us, term }
 }
 
@@ -38,25 +39,25 @@
     four_while_one_is_replaced = { 4, 1, 2 },
     three_without_synchronous_replicas = { 3, 0, 2 },
 )]
-fn testimonies(members: usize, sync_replicas: u32, expected: usize) {
+fn term_reports(members: usize, sync_replicas: u32, expected: usize) {
     assert_eq!(term_reports_needed(members, sync_replicas), expected);
 }
 
 #[parameterized(
-    proved = { vec![said(11, 1), said(4, 1)], 1, LeadershipCheck::Confirmed { term: 1 } },
-    asked_before = { vec![said(10, 1), said(4, 1)], 1, LeadershipCheck::Pending },
-    refuted_by_one = { vec![said(11, 1), said(12, 2)], 1, LeadershipCheck::Confirmed { term: 2 } },
-    too_few = { vec![said(11, 1)], 2, LeadershipCheck::Pending },
+    confirmed = { vec![term_report(11, 1), term_report(4, 1)], 1, LeadershipCheck::Confirmed { term: 1 } },
+    asked_before = { vec![term_report(10, 1), term_report(4, 1)], 1, LeadershipCheck::Pending },
+    refuted_by_one = { vec![term_report(11, 1), term_report(12, 2)], 1, LeadershipCheck::Confirmed { term: 2 } },
+    too_few = { vec![term_report(11, 1)], 2, LeadershipCheck::Pending },
 )]
-fn proof_of_the_primary(others: Vec<TermReport>, needed: usize, expected: LeadershipCheck) {
+fn leadership_check(others: Vec<TermReport>, needed: usize, expected: LeadershipCheck) {
     assert_eq!(check_leadership(others.into_iter(), 10, needed), expected);
 }
 
 #[parameterized(
     the_most_advanced_counts = { vec![Some((11, at(1, 5))), Some((12, at(1, 7)))], 1, Some(at(1, 7)) },
-    one_was_not_heard = { vec![Some((11, at(1, 5))), None], 1, None },
+    one_did_not_report = { vec![Some((11, at(1, 5))), None], 1, None },
     one_was_asked_before = { vec![Some((11, at(1, 5))), Some((10, at(1, 7)))], 1, None },
-    nobody_else = { vec![], 1, None },
+    no_other_members = { vec![], 1, None },
     without_synchronous_replicas = { vec![Some((11, at(1, 5)))], 0, None },
 )]
 fn floor_without_a_primary(
@@ -68,7 +69,7 @@
     assert_eq!(floor, expected);
 }
 
-/// The oldest observation that is young enough asks least of replicas.
+/// The oldest observation that is recent enough gives the lowest floor.
 #[test]
 fn floor_of_an_age() {
     let mut ages = AgeTracker::default();
@@ -81,7 +82,7 @@
 }
 
 #[parameterized(
-    young = { 1_000, false, false },
+    recent = { 1_000, false, false },
     old = { 1_250, false, true },
     replicas_are_behind = { 700, true, true },
 )]
@@ -152,28 +153,28 @@
     one_of_three = { 3, 1, false },
     two_of_three = { 3, 2, true },
     two_of_four = { 4, 2, false },
-    none_listed = { 0, 0, false },
+    no_members = { 0, 0, false },
 )]
 fn cut_off(members: usize, failing: usize, expected: bool) {
     assert_eq!(is_cut_off(members, failing), expected);
 }
 
-/// A zone with few VMs gives each a larger share.
+/// Each VM gets a larger share in a region with few holders.
 #[test]
-fn shares_by_zone() {
+fn shares_by_holders() {
     assert_eq!(share_count(3, 7), 21);
     assert_eq!(share_count(3, 2), 6);
     assert_eq!(share_count(3, 0), 3);
 }
 
-/// A full member is given fewer requests, and more again as it answers.
+/// The window shrinks when a member refuses requests and grows as it answers them.
 #[test]
 fn window_follows_refusals() {
     let mut window = Window::default();
     assert!(window.has_room(7));
     window.refused(1_000);
     assert!(window.has_room(3) && !window.has_room(4));
-    // What was sent before is refused as well: it says nothing new.
+    // A refusal of a request sent before the reduction does not count again.
     window.refused(1_010);
     assert!(window.has_room(3));
     for pause in 1..10 {
@@ -186,7 +187,7 @@
     assert!(window.has_room(10));
 }
 
-/// Urgent requests go first, and within a priority those with little time.
+/// Requests are served by priority, then by deadline.
 #[test]
 fn queue_by_priority_and_deadline() {
     let mut queue = AdmissionQueue::new(10);
@@ -205,7 +206,7 @@
     })
 }
 
-fn rival(name: &str, fenced: Option<Fenced>) -> Candidate {
+fn other_member(name: &str, fenced: Option<Fenced>) -> Candidate {
     Candidate {
         member: name.into(),
         is_primary: false,
@@ -215,10 +216,10 @@
     }
 }
 
-fn led(fenced: Option<Fenced>) -> Candidate {
+fn primary(fenced: Option<Fenced>) -> Candidate {
     Candidate {
         is_primary: true,
-        ..rival("primary", fenced)
+        ..other_member("primary", fenced)
     }
 }
 
@@ -244,27 +245,27 @@
 
 #[parameterized(
     most_advanced_of_all_others = {
-        vec![led(None), rival("a", fenced(5)), rival("b", fenced(9))], promote("b") },
+        vec![primary(None), other_member("a", fenced(5)), other_member("b", fenced(9))], promote("b") },
     silent_primary_and_silent_replica = {
-        vec![led(None), rival("a", fenced(5)), rival("b", None)], UNSAFE },
+        vec![primary(None), other_member("a", fenced(5)), other_member("b", None)], UNSAFE },
     silent_primary_and_a_replica_that_is_gone = {
-        vec![led(None), rival("a", fenced(5)), gone(rival("b", None))], promote("a") },
-    stepped_down_and_a_replica_is_level = {
-        vec![led(fenced(9)), rival("a", fenced(9)), rival("b", None)], promote("a") },
+        vec![primary(None), other_member("a", fenced(5)), gone(other_member("b", None))], promote("a") },
+    stepped_down_and_a_replica_is_as_advanced = {
+        vec![primary(fenced(9)), other_member("a", fenced(9)), other_member("b", None)], promote("a") },
     stepped_down_and_the_replica_is_behind = {
-        vec![led(fenced(9)), rival("a", fenced(5)), rival("b", None)], promote("primary") },
-    stepped_down_with_commits_nobody_received = {
-        vec![led(fenced(9)), rival("a", fenced(5)), rival("b", fenced(7))], promote("b") },
+        vec![primary(fenced(9)), other_member("a", fenced(5)), other_member("b", None)], promote("primary") },
+    stepped_down_with_commits_no_replica_received = {
+        vec![primary(fenced(9)), other_member("a", fenced(5)), other_member("b", fenced(7))], promote("b") },
     leaving_replica_holds_the_last_commits = {
-        vec![led(None), rival("a", fenced(5)), leaving(rival("b", fenced(9)))], promote("b") },
-    leaving_replica_is_level = {
-        vec![led(None), rival("a", fenced(9)), leaving(rival("b", fenced(9)))], promote("a") },
+        vec![primary(None), other_member("a", fenced(5)), leaving(other_member("b", fenced(9)))], promote("b") },
+    leaving_replica_is_no_more_advanced = {
+        vec![primary(None), other_member("a", fenced(9)), leaving(other_member("b", fenced(9)))], promote("a") },
     primary_is_leaving = {
-        vec![leaving(led(fenced(9))), rival("a", fenced(9)), rival("b", fenced(9))], promote("b") },
-    nobody_answers = {
-        vec![led(None), rival("a", None), rival("b", None)],
+        vec![leaving(primary(fenced(9))), other_member("a", fenced(9)), other_member("b", fenced(9))], promote("b") },
+    no_member_answers = {
+        vec![primary(None), other_member("a", None), other_member("b", None)],
         Choice::Wait(WaitReason::NobodyFenced) },
-    no_primary_is_known = { vec![rival("a", fenced(5)), rival("b", fenced(9))], promote("b") },
+    no_primary_is_known = { vec![other_member("a", fenced(5)), other_member("b", fenced(9))], promote("b") },
 )]
 fn successor(candidates: Vec<Candidate>, expected: Choice) {
     assert_eq!(choose(&candidates), expected);
@@ -278,7 +279,7 @@
     missing_ms: 1_200,
 };
 
-fn well() -> PrimaryHealth {
+fn healthy_primary() -> PrimaryHealth {
     PrimaryHealth {
         is_known: true,
         others_answer: true,
@@ -289,30 +290,30 @@
 }
 
 #[parameterized(
-    healthy = { well(), None },
-    silent = { PrimaryHealth { failures: 2, silent_ms: 250, ..well() }, Some(Reason::Silent) },
-    one_failure = { PrimaryHealth { failures: 1, silent_ms: 900, ..well() }, None },
+    healthy = { healthy_primary(), None },
+    silent = { PrimaryHealth { failures: 2, silent_ms: 250, ..healthy_primary() }, Some(Reason::Silent) },
+    one_failure = { PrimaryHealth { failures: 1, silent_ms: 900, ..healthy_primary() }, None },
     this_vm_is_cut_off = {
-        PrimaryHealth { failures: 9, silent_ms: 900, others_answer: false, ..well() }, None },
-    silent_beyond_another_vm = {
-        PrimaryHealth { failures: 9, silent_ms: 900, connects_to_primary: false, ..well() }, None },
-    leaving_and_not_looked_after_here = {
-        PrimaryHealth { is_leaving: true, connects_to_any_member: false, ..well() }, None },
-    leaving = { PrimaryHealth { is_leaving: true, ..well() }, Some(Reason::Leaving) },
-    stuck = { PrimaryHealth { stuck_ms: 900, ..well() }, Some(Reason::Stuck) },
-    left_unfinished = { PrimaryHealth { held_ms: 2_500, ..well() }, Some(Reason::Unfinished) },
+        PrimaryHealth { failures: 9, silent_ms: 900, others_answer: false, ..healthy_primary() }, None },
+    silent_through_another_vm = {
+        PrimaryHealth { failures: 9, silent_ms: 900, connects_to_primary: false, ..healthy_primary() }, None },
+    leaving_and_no_direct_connection = {
+        PrimaryHealth { is_leaving: true, connects_to_any_member: false, ..healthy_primary() }, None },
+    leaving = { PrimaryHealth { is_leaving: true, ..healthy_primary() }, Some(Reason::Leaving) },
+    stuck = { PrimaryHealth { stuck_ms: 900, ..healthy_primary() }, Some(Reason::Stuck) },
+    left_unfinished = { PrimaryHealth { held_ms: 2_500, ..healthy_primary() }, Some(Reason::Unfinished) },
     missing = {
-        PrimaryHealth { is_known: false, missing_ms: 1_200, ..well() }, Some(Reason::NoPrimary) },
-    not_missing_for_long = { PrimaryHealth { is_known: false, missing_ms: 90, ..well() }, None },
+        PrimaryHealth { is_known: false, missing_ms: 1_200, ..healthy_primary() }, Some(Reason::NoPrimary) },
+    not_missing_for_long = { PrimaryHealth { is_known: false, missing_ms: 90, ..healthy_primary() }, None },
 )]
-fn doubt_of_the_primary(health: PrimaryHealth, expected: Option<Reason>) {
+fn reason_to_replace_the_primary(health: PrimaryHealth, expected: Option<Reason>) {
     assert_eq!(replacement_reason(&health, &SETTINGS), expected);
 }
 
-/// A late answer alone does not make a primary stuck: a replica that received
-/// what the primary held then proves that it was the answer that was lost.
+/// A late answer alone does not make a commit stuck: if a replica has received the
+/// primary's position, only the answer was lost.
 #[test]
-fn lost_answer_is_no_stuck_commit() {
+fn a_lost_answer_is_not_a_stuck_commit() {
     let mut stuck = StuckCommit::default();
     assert!(!stuck.note_replica(at(1, 9), 100));
     stuck.note_primary(at(1, 7));
@@ -322,10 +323,10 @@
     assert!(!stuck.is_lacking());
 }
 
-/// A primary that has too much to do to report is not stuck either: time counts
-/// from the moment at which a replica was seen to lack the commit.
+/// A primary that is too busy to report is not stuck: the time counts from the first
+/// report that shows a replica lacks the commit.
 #[test]
-fn commit_is_stuck_once_a_replica_lacks_it() {
+fn a_commit_is_stuck_once_a_replica_lacks_it() {
     let mut stuck = StuckCommit::default();
     stuck.note_primary(at(1, 7));
     assert_eq!(stuck.stuck_ms(3_000), 0);
@@ -363,23 +364,26 @@
     assert_eq!(chosen.map(|chosen| chosen.len()), expected);
 }
 
-/// Holders are chosen in proportion to their power, and differ by member.
+/// Holders are chosen in proportion to their weight, and differ by member.
 #[test]
-fn strong_vms_hold_more() {
+fn vms_with_more_weight_hold_more() {
     let vms = vms(&[("a", 2, 0.5), ("a", 16, 0.084), ("b", 18, 0.1)]);
-    let mut strong = 0;
+    let mut heavy = 0;
     let mut all = 0;
     for member in 0..500 {
         let chosen = holders(&format!("m{member}"), 10, &vms, &"a".into()).unwrap();
-        strong += chosen.iter().filter(|vm| vm.ends_with("-0.5")).count();
+        heavy += chosen.iter().filter(|vm| vm.ends_with("-0.5")).count();
         all += chosen.len();
     }
-    let share = strong as f64 / all as f64;
-    let power = 1.0 / (1.0 + 16.0 * 0.084);
-    assert!((share - power).abs() < 0.08, "{share} of {power}");
+    let share = heavy as f64 / all as f64;
+    let expected_share = 1.0 / (1.0 + 16.0 * 0.084);
+    assert!(
+        (share - expected_share).abs() < 0.08,
+        "{share} instead of {expected_share}"
+    );
 }
 
-/// A VM that leaves moves only what it held.
+/// A VM that leaves changes only its own assignments.
 #[test]
 fn holders_stay_when_another_vm_leaves() {
     let before = vms(&[("a", 20, 1.0)]);
@@ -392,21 +396,21 @@
 }
 
 #[test]
-fn holders_go_themselves_and_others_through_them() {
+fn holders_connect_directly_and_others_through_them() {
     let vms = vms(&[("a", 30, 1.0), ("b", 30, 1.0), ("c", 30, 1.0)]);
     for vm in vms.keys() {
         let region = &vms[vm].region;
         let chosen = holders("m", 30, &vms, region).unwrap();
-        let ways = member_paths(vm, "m", 30, &vms);
+        let paths = member_paths(vm, "m", 30, &vms);
         match chosen.contains(vm) {
-            true => assert_eq!(ways[0], MemberPath::Direct),
+            true => assert_eq!(paths[0], MemberPath::Direct),
             false => {
-                assert!(matches!(&ways[0], MemberPath::Through(other) if chosen.contains(other)));
-                assert_eq!(ways.last(), Some(&MemberPath::Direct));
+                assert!(matches!(&paths[0], MemberPath::Through(other) if chosen.contains(other)));
+                assert_eq!(paths.last(), Some(&MemberPath::Direct));
             }
         }
-        assert!(ways.iter().all(|way| way.through() != &**vm));
-        assert!(ways.len() >= 3, "{ways:?}");
+        assert!(paths.iter().all(|path| path.through() != &**vm));
+        assert!(paths.len() >= 3, "{paths:?}");
     }
     assert_eq!(
         member_paths(&"unknown".into(), "m", 30, &vms),
