--- a/src/decide/acknowledge.rs
+++ b/src/decide/acknowledge.rs
@@ -19,7 +19,7 @@
     Deserialize,
 )]
 #[strum(serialize_all = "snake_case")]
-#[serde(rename_all = "snake_case")]
+#[serde(rename = "Acknowledge", rename_all = "snake_case")]
 pub enum AcknowledgeMode {
     /// A majority of the members has received the commit in the same term.
     #[default]
--- a/src/decide/age.rs
+++ b/src/decide/age.rs
@@ -12,12 +12,13 @@
 /// Fraction of the allowed staleness after which a floor is renewed; the rest
 /// leaves time to ask for a new one.
 const RENEW_SHARE: f64 = 0.8;
-/// The same while replicas lag. Renewal starts earlier because the older a floor
-/// is, the more replicas have reached it.
+/// The same while replicas lag. Renewal starts earlier because the older a
+/// floor is, the more replicas have reached it.
 const RENEW_SHARE_BEHIND: f64 = 0.4;
 
 /// Whether a floor, the minimum position that a read must see, is due for
-/// renewal at this age, for reads that accept data up to `max_staleness_ms` old.
+/// renewal at this age, for reads that accept data up to `max_staleness_ms`
+/// old.
 pub fn is_floor_due(age_ms: u64, max_staleness_ms: u64, is_behind: bool) -> bool {
     let share = match is_behind {
         true => RENEW_SHARE_BEHIND,
--- a/src/decide/barrier.rs
+++ b/src/decide/barrier.rs
@@ -11,8 +11,8 @@
 };
 use crate::prelude::*;
 
-/// Computes the barrier for a request that arrived at `arrived_ms`; `None` until
-/// enough reports are in.
+/// Computes the barrier for a request that arrived at `arrived_ms`; `None`
+/// until enough reports are in.
 ///
 /// A report counts only if it was asked for in a later millisecond, because the
 /// order of two events within the same millisecond is unknown.
@@ -20,8 +20,8 @@
 /// If commits are acknowledged by a majority, any majority of the members that
 /// are synchronized with the term holds every acknowledged commit. The least
 /// advanced majority is enough, so that the session does not wait for commits
-/// that were never acknowledged. In the other modes the barrier is the primary's
-/// position.
+/// that were never acknowledged. In the other modes the barrier is the
+/// primary's position.
 pub fn barrier(mode: AcknowledgeMode, members: &[MemberView], arrived_ms: u64) -> Option<Position> {
     match mode {
         AcknowledgeMode::Majority => quorum_barrier(members, arrived_ms),
--- a/src/decide/classify.rs
+++ b/src/decide/classify.rs
@@ -85,8 +85,8 @@
 
 /// Classifies the text of a simple query or of a prepared statement.
 ///
-/// A text that the parser rejects counts as a write, so that the primary reports
-/// the error.
+/// A text that the parser rejects counts as a write, so that the primary
+/// reports the error.
 pub fn classify(sql: &str) -> Class {
     if let Some(class) = classify_simple(sql) {
         return class;
--- a/src/decide/dispatch.rs
+++ b/src/decide/dispatch.rs
@@ -1,5 +1,5 @@
-//! Choice of the member that serves a read, and limits on the connections to a
-//! member.
+//! Choice of the member that serves a read, by the expected time, and limits on
+//! the connections to a member.
 
 use crate::prelude::*;
 
@@ -64,12 +64,12 @@
         .min_by(|a, b| a.cost_ms().total_cmp(&b.cost_ms()))
 }
 
-/// Whether a VM is cut off from a service, given that `failing` of its `members`
-/// do not answer.
+/// Whether a VM is cut off from a service, given that `failing` of its
+/// `members` do not answer.
 ///
-/// A VM that reaches only a minority can neither confirm which member is primary
-/// nor get a commit acknowledged, but other VMs may be able to, so callers are
-/// sent there at once.
+/// A VM that reaches only a minority can neither confirm which member is
+/// primary nor get a commit acknowledged, but other VMs may be able to, so
+/// callers are sent there at once.
 pub fn is_cut_off(members: usize, failing: usize) -> bool {
     failing * 2 > members
 }
@@ -112,8 +112,9 @@
     /// Whether to close a connection that was idle for `idle_ms` while this VM
     /// holds `own`.
     ///
-    /// This leaves room for many VMs that restart at once after a power failure,
-    /// while the member still counts their old connections for some time.
+    /// This leaves room for many VMs that restart at once after a power
+    /// failure, while the member still counts their old connections for some
+    /// time.
     pub fn is_surplus(&self, own: usize, idle_ms: u64) -> bool {
         let is_idle = own > 1 && idle_ms >= IDLE_MS;
         is_idle || (own > self.fair_share() && !self.has_room())
@@ -131,8 +132,8 @@
     evenly_shared(connections_max) / regions.max(1)
 }
 
-/// Number of equal shares that the connections to a member are divided into, for
-/// a region in which `holders` VMs hold connections.
+/// Number of equal shares that the connections to a member are divided into,
+/// for a region in which `holders` VMs hold connections.
 pub fn share_count(regions: usize, holders: usize) -> usize {
     regions.max(1) * holders.max(1)
 }
--- a/src/decide/failover.rs
+++ b/src/decide/failover.rs
@@ -1,9 +1,9 @@
 //! Detection and replacement of a failed primary, run by the delegate.
 //!
 //! A failover raises the term on a majority of the members, then promotes the
-//! most advanced member that answered. Terms come from a range that the service's
-//! row reserves for this delegate, so that a failover needs no access to the
-//! table service.
+//! most advanced member that answered. Terms come from a range that the
+//! service's row reserves for this delegate, so that a failover needs no access
+//! to the table service.
 
 mod action;
 mod detection;
@@ -119,8 +119,8 @@
         terms.map(|s| s.term).max().unwrap_or(0)
     }
 
-    /// Index of the member whose latest report says it is primary of the highest
-    /// term.
+    /// Index of the member whose latest report says it is primary of the
+    /// highest term.
     pub fn primary(&self) -> Option<usize> {
         let highest = self.highest_term();
         self.members.iter().position(|m| {
--- a/src/decide/failover/detection.rs
+++ b/src/decide/failover/detection.rs
@@ -7,8 +7,8 @@
         !self.primary_answers() || self.replicas_lost_primary(now_ms)
     }
 
-    /// Whether a replica has not heard from its primary for so long that members
-    /// must be probed at the shorter interval.
+    /// Whether a replica has not heard from its primary for so long that
+    /// members must be probed at the shorter interval.
     pub(super) fn needs_fast_probes(&self) -> bool {
         let limit_ms = self.settings.detect_ms / 2;
         let statuses = self.members.iter().filter_map(|m| m.status);
@@ -16,8 +16,8 @@
         replicas.any(|s| s.primary_seen_ms >= limit_ms)
     }
 
-    /// Whether a leaving primary can be replaced now: all members answer, and not
-    /// all of them are leaving.
+    /// Whether a leaving primary can be replaced now: all members answer, and
+    /// not all of them are leaving.
     pub(super) fn must_hand_over(&self, now_ms: u64) -> bool {
         let is_leaving = self.primary().is_some_and(|p| self.leaving.contains(&p));
         let all_answer = self
@@ -37,7 +37,8 @@
         }
     }
 
-    /// Whether a majority of the members are replicas that have lost the primary.
+    /// Whether a majority of the members are replicas that have lost the
+    /// primary.
     pub(super) fn replicas_lost_primary(&self, now_ms: u64) -> bool {
         let detect_ms = self.settings.detect_ms;
         let has_lost = |state: &&MemberState| {
@@ -66,8 +67,9 @@
         self.check_reachability(now_ms)
     }
 
-    /// Asks the other slot holders whether they reach the primary, because it may
-    /// be only this VM that has lost it. Raises the term if none of them does.
+    /// Asks the other slot holders whether they reach the primary, because it
+    /// may be only this VM that has lost it. Raises the term if none of them
+    /// does.
     pub(super) fn check_reachability(&mut self, now_ms: u64) -> Vec<Action> {
         let primary = self.primary();
         let failed_long_enough = match primary {
--- a/src/decide/failover/settings.rs
+++ b/src/decide/failover/settings.rs
@@ -14,8 +14,8 @@
     /// Time without contact after which replicas count the primary as failed.
     #[builder(default = 1_000)]
     pub detect_ms: u64,
-    /// Time that probes of the primary must fail before the other slot holders are
-    /// asked.
+    /// Time that probes of the primary must fail before the other slot holders
+    /// are asked.
     #[builder(default = 300)]
     pub suspect_ms: u64,
     /// Timeout of a reachability check, a raise of the term or a promotion.
--- a/src/decide/holders.rs
+++ b/src/decide/holders.rs
@@ -1,17 +1,18 @@
-//! Choice of the VMs that hold connections to a member, and of the paths by which
-//! other VMs reach it.
+//! Choice of the VMs that hold connections to a member, and of the paths by
+//! which other VMs reach it.
 //!
 //! A member allows few connections, but there may be many VMs. If every VM of a
-//! region can have a connection of its own, all do. Otherwise a few VMs hold all of
-//! the region's connections, and the others forward their statements to them.
+//! region can have a connection of its own, all do. Otherwise a few VMs hold
+//! all of the region's connections, and the others forward their statements to
+//! them.
 
 use std::cmp::Ordering;
 
 use super::{dispatch::connections_for_region, placement::score};
 use crate::prelude::*;
 
-/// Minimum number of connections per holder. Paused transactions occupy about half
-/// of them, and a larger pool is less likely to be full by chance.
+/// Minimum number of connections per holder. Paused transactions occupy about
+/// half of them, and a larger pool is less likely to be full by chance.
 const HOLDER_CONNECTIONS: usize = 16;
 /// Number of paths through other VMs that are kept as alternatives.
 const SPARE_PATHS: usize = 4;
@@ -50,11 +51,11 @@
     }
 }
 
-/// Chooses the VMs of a region that hold connections to a member; `None` if every
-/// VM of the region may hold some.
+/// Chooses the VMs of a region that hold connections to a member; `None` if
+/// every VM of the region may hold some.
 ///
-/// Weighted rendezvous hashing chooses each VM in proportion to its weight, and a
-/// VM that joins or leaves changes only its own assignments.
+/// Weighted rendezvous hashing chooses each VM in proportion to its weight, and
+/// a VM that joins or leaves changes only its own assignments.
 pub fn holders(
     member: &str,
     connections_max: usize,
@@ -74,9 +75,9 @@
 
 /// Paths by which the VM `own` reaches a member, best first.
 ///
-/// A holder connects directly, and goes through other holders while it cannot reach
-/// the member. Any other VM goes through holders in its region, then in other
-/// regions, and connects directly only if none of them answers.
+/// A holder connects directly, and goes through other holders while it cannot
+/// reach the member. Any other VM goes through holders in its region, then in
+/// other regions, and connects directly only if none of them answers.
 pub fn member_paths(
     own: &Name,
     member: &str,
@@ -123,7 +124,8 @@
     first.map(|(_, vm)| vm.clone()).collect()
 }
 
-/// Score with which a VM ranks highest with a probability proportional to its weight.
+/// Score with which a VM ranks highest with a probability proportional to its
+/// weight.
 fn weighted_score(key: &str, index: usize, vm: &str, weight: f64) -> f64 {
     let hash = score(key, index, vm) as f64;
     let unit = hash / u64::MAX as f64;
--- a/src/decide/leadership.rs
+++ b/src/decide/leadership.rs
@@ -1,5 +1,5 @@
-//! Confirmation that a primary still leads, needed because a primary that was cut
-//! off and replaced goes on answering as primary.
+//! Confirmation that a primary still leads, needed because a primary that was
+//! cut off and replaced goes on answering as primary.
 
 use crate::prelude::*;
 
@@ -8,8 +8,8 @@
 pub struct TermReport {
     /// Time the question was sent, in microseconds.
     pub asked_us: u64,
-    /// Term of the member, or the higher term of a replacement of the primary that
-    /// is in progress and has fenced the member.
+    /// Term of the member, or the higher term of a replacement of the primary
+    /// that is in progress and has fenced the member.
     pub term: u64,
 }
 
@@ -25,12 +25,12 @@
     Pending,
 }
 
-/// Number of other members that must report their term to confirm the primary of a
-/// group of `members`.
+/// Number of other members that must report their term to confirm the primary
+/// of a group of `members`.
 ///
-/// A new primary needs one more member to acknowledge a commit, so the report of
-/// one of the others may be missing. Without synchronous replicas it acknowledges
-/// alone, and all the others must report.
+/// A new primary needs one more member to acknowledge a commit, so the report
+/// of one of the others may be missing. Without synchronous replicas it
+/// acknowledges alone, and all the others must report.
 pub fn term_reports_needed(members: usize, sync_replicas: u32) -> usize {
     let others = members.saturating_sub(1);
     match sync_replicas {
@@ -39,7 +39,8 @@
     }
 }
 
-/// Evaluates the reports of the other members that were asked for after `since_us`.
+/// Evaluates the reports of the other members that were asked for after
+/// `since_us`.
 pub fn check_leadership(
     others: impl Iterator<Item = TermReport>,
     since_us: u64,
@@ -61,12 +62,12 @@
 }
 
 /// Position that includes all commits acknowledged before `since_us`, from the
-/// members other than the primary. `others` gives the time each was asked and the
-/// position it has received, or `None` if it has not reported.
+/// members other than the primary. `others` gives the time each was asked and
+/// the position it has received, or `None` if it has not reported.
 ///
-/// A commit is acknowledged once one of them has received it, so the most advanced
-/// has received all of them. This works without a primary, so that replicas keep
-/// serving reads while it is replaced.
+/// A commit is acknowledged once one of them has received it, so the most
+/// advanced has received all of them. This works without a primary, so that
+/// replicas keep serving reads while it is replaced.
 pub fn received_by_others(
     others: impl Iterator<Item = Option<(u64, Position)>>,
     since_us: u64,
--- a/src/decide/member.rs
+++ b/src/decide/member.rs
@@ -33,9 +33,9 @@
     pub role: Role,
     /// Highest term that the member has accepted.
     pub term: u64,
-    /// Term that the member's log is synchronized with: the log contains everything
-    /// that the term's primary had when the term began, and nothing that this
-    /// primary lacks.
+    /// Term that the member's log is synchronized with: the log contains
+    /// everything that the term's primary had when the term began, and nothing
+    /// that this primary lacks.
     pub synced_term: u64,
     /// Last LSN received.
     pub received_lsn: Lsn,
@@ -82,8 +82,8 @@
     }
 }
 
-/// Whether a question sent at `asked_ms` came after an event at `event_ms`. Within
-/// the same millisecond the order is unknown, so that does not count.
+/// Whether a question sent at `asked_ms` came after an event at `event_ms`.
+/// Within the same millisecond the order is unknown, so that does not count.
 pub fn asked_after(asked_ms: u64, event_ms: u64) -> bool {
     asked_ms > event_ms
 }
--- a/src/decide/membership.rs
+++ b/src/decide/membership.rs
@@ -1,5 +1,5 @@
-//! Membership and failure detection of VMs (SWIM): probes carry state changes, at a
-//! constant load per VM.
+//! Membership and failure detection of VMs (SWIM): probes carry state changes,
+//! at a constant load per VM.
 
 use std::net::SocketAddr;
 
@@ -46,7 +46,8 @@
     pub incarnation: u64,
     /// New state.
     pub liveness: Liveness,
-    /// Zone and addresses, sent while the VM is alive so that others can add it.
+    /// Zone and addresses, sent while the VM is alive so that others can add
+    /// it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub place: Option<Place>,
 }
@@ -96,8 +97,8 @@
 impl Membership {
     /// Creates a membership of this VM alone.
     ///
-    /// `incarnation` must be higher than that of any earlier process with the same
-    /// name, for example the start time in milliseconds.
+    /// `incarnation` must be higher than that of any earlier process with the
+    /// same name, for example the start time in milliseconds.
     pub fn new(
         settings: MembershipSettings,
         own: Name,
@@ -120,8 +121,8 @@
         &self.peers
     }
 
-    /// Names and zones of the VMs that may get new work, including this one unless
-    /// it is leaving.
+    /// Names and zones of the VMs that may get new work, including this one
+    /// unless it is leaving.
     pub fn working(&self) -> impl Iterator<Item = (&Name, &Name)> {
         let own = (!self.is_leaving).then_some((&self.own, &self.own_place.zone));
         let peers = self
@@ -141,9 +142,9 @@
         peer.is_some_and(|p| matches!(p.liveness, Liveness::Alive | Liveness::Suspect))
     }
 
-    /// Records a VM from the platform's list: it is added if unknown, and marked as
-    /// leaving if the list says so. The list lags, so it changes no VM to alive or
-    /// dead.
+    /// Records a VM from the platform's list: it is added if unknown, and
+    /// marked as leaving if the list says so. The list lags, so it changes no
+    /// VM to alive or dead.
     pub fn listed(&mut self, now_ms: u64, vm: &Name, place: &Place, is_leaving: bool) {
         if *vm == self.own {
             return;
@@ -183,8 +184,8 @@
         });
     }
 
-    /// Chooses a VM to probe, mostly in this zone. Dead VMs are included so that a
-    /// healed partition is noticed.
+    /// Chooses a VM to probe, mostly in this zone. Dead VMs are included so
+    /// that a healed partition is noticed.
     pub fn next_probe(&self, rng: &mut SmallRng) -> Option<Name> {
         let go_far = rng.random_ratio(self.settings.far_percent.min(100), 100);
         let is_wanted = |peer: &Peer| (peer.place.zone == self.own_place.zone) != go_far;
@@ -215,8 +216,9 @@
         let Some(peer) = self.peers.get_mut(vm) else {
             return;
         };
-        // An answer with a later incarnation revives a dead VM: it comes from a new
-        // process, or from one that was paused and has learned of the suspicion.
+        // An answer with a later incarnation revives a dead VM: it comes from a
+        // new process, or from one that was paused and has learned of the
+        // suspicion.
         let is_newer = incarnation > peer.incarnation;
         let refutes = peer.liveness == Liveness::Suspect || is_newer;
         peer.incarnation = peer.incarnation.max(incarnation);
@@ -236,7 +238,8 @@
         }
     }
 
-    /// Declares suspect VMs dead whose time to refute is over, and returns them.
+    /// Declares suspect VMs dead whose time to refute is over, and returns
+    /// them.
     pub fn tick(&mut self, now_ms: u64) -> Vec<Name> {
         let suspect_ms = self.settings.suspect_ms;
         let is_expired =
@@ -302,7 +305,8 @@
         self.spread(change.clone());
     }
 
-    /// Returns the changes to send with the next message, least often sent first.
+    /// Returns the changes to send with the next message, least often sent
+    /// first.
     pub fn outgoing(&mut self) -> Vec<Change> {
         let limit = spread_limit(self.peers.len());
         self.pending.sort_by_key(|(_, sent)| *sent);
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -1,7 +1,7 @@
 //! Pure decision logic: no I/O, no clock, no global randomness.
 //!
-//! Times, random generators and observations are arguments; decisions and actions
-//! are return values.
+//! Times, random generators and observations are arguments; decisions and
+//! actions are return values.
 
 pub mod acknowledge;
 pub mod admission;
--- a/src/decide/placement.rs
+++ b/src/decide/placement.rs
@@ -1,7 +1,7 @@
 //! Assignment of slots and delegates to VMs by rendezvous hashing.
 //!
-//! Each VM has a score for each key, and the VM with the highest score is chosen. A
-//! VM that joins or leaves moves only the keys that it gains or had.
+//! Each VM has a score for each key, and the VM with the highest score is
+//! chosen. A VM that joins or leaves moves only the keys that it gains or had.
 
 use std::hash::Hasher;
 
@@ -41,8 +41,8 @@
     combine(hash_key(key, index), hash_vm(vm))
 }
 
-/// Combines the hashes of a key and a VM, so that each name is hashed only once when
-/// many pairs are compared.
+/// Combines the hashes of a key and a VM, so that each name is hashed only once
+/// when many pairs are compared.
 fn combine(key_hash: u64, vm_hash: u64) -> u64 {
     let mut hasher = SipHasher13::new();
     hasher.write_u64(key_hash);
@@ -63,8 +63,8 @@
     hasher.finish()
 }
 
-/// The standby delegate of a service: the VM with the highest score, which claims
-/// the delegate role when the delegate in the service's row is gone.
+/// The standby delegate of a service: the VM with the highest score, which
+/// claims the delegate role when the delegate in the service's row is gone.
 pub fn standby_delegate<'a>(
     service: &str,
     vms: impl Iterator<Item = &'a Name>,
@@ -74,9 +74,9 @@
 
 /// Chooses holders for the slots of a service.
 ///
-/// `zones` gives the zone of each slot's member, `current` the present holders. A
-/// holder that is among `vms` keeps its slot. A VM holds at most one slot of a
-/// service; slots without a VM stay unassigned.
+/// `zones` gives the zone of each slot's member, `current` the present holders.
+/// A holder that is among `vms` keeps its slot. A VM holds at most one slot of
+/// a service; slots without a VM stay unassigned.
 pub fn place(
     service: &str,
     zones: &[Name],
@@ -126,8 +126,8 @@
 
 /// The standby delegate of each service, updated as VMs join and leave.
 ///
-/// A VM that joins costs one score per service. A VM that leaves costs one score per
-/// VM for each service that it was standby of.
+/// A VM that joins costs one score per service. A VM that leaves costs one
+/// score per VM for each service that it was standby of.
 #[derive(Clone, Debug, Default)]
 pub struct StandbyMap {
     vms: BTreeMap<Name, u64>,
@@ -158,8 +158,8 @@
 }
 
 impl StandbyMap {
-    /// Adds services. If there are many new ones, all VMs are removed from the map,
-    /// so that [`StandbyMap::converge`] adds them again in steps.
+    /// Adds services. If there are many new ones, all VMs are removed from the
+    /// map, so that [`StandbyMap::converge`] adds them again in steps.
     pub fn add_services<'a>(&mut self, services: impl Iterator<Item = &'a Name>) {
         let known = &self.services;
         let new: Vec<Name> = services
@@ -208,8 +208,9 @@
         }
     }
 
-    /// Brings the map's VMs closer to `vms` with at most `most` changes. Returns
-    /// `true` once they are equal; until then the standby delegates are not final.
+    /// Brings the map's VMs closer to `vms` with at most `most` changes.
+    /// Returns `true` once they are equal; until then the standby delegates are
+    /// not final.
     pub fn converge(&mut self, vms: &BTreeSet<Name>, most: usize) -> bool {
         let gone = self.vms.keys().filter(|vm| !vms.contains(*vm));
         let gone: Vec<Name> = gone.take(most).cloned().collect();
--- a/src/decide/retry.rs
+++ b/src/decide/retry.rs
@@ -10,7 +10,8 @@
 }
 
 impl Backoff {
-    /// Delay before the next attempt after `failures` failed ones, in milliseconds.
+    /// Delay before the next attempt after `failures` failed ones, in
+    /// milliseconds.
     pub fn delay_ms(&self, failures: u32) -> u64 {
         let doublings = failures.saturating_sub(1).min(16);
         self.base_ms.saturating_mul(1 << doublings).min(self.max_ms)
--- a/src/decide/rollout.rs
+++ b/src/decide/rollout.rs
@@ -63,7 +63,8 @@
 pub enum Plan {
     /// The head is already in force.
     Keep,
-    /// The head is older than the version in force, because its message was late.
+    /// The head is older than the version in force, because its message was
+    /// late.
     RefuseOlder,
     /// Apply these changes in order.
     Changes(Vec<ChangeRef>),
@@ -103,8 +104,8 @@
         }
     }
 
-    /// The head as sent to other VMs, with only its latest changes. A VM that is
-    /// further behind asks for the others.
+    /// The head as sent to other VMs, with only its latest changes. A VM that
+    /// is further behind asks for the others.
     pub fn for_update(&self) -> Head {
         let surplus = self.changes.len().saturating_sub(UPDATE_CHANGES);
         Head {
--- a/src/decide/route.rs
+++ b/src/decide/route.rs
@@ -1,4 +1,5 @@
-//! Choice of the member that serves a slot's read.
+//! Choice of the member that serves a read, by the session's position and the
+//! age of the members' data.
 
 use super::{
     age::AgeTracker,
@@ -11,7 +12,8 @@
 pub enum Floor {
     /// Everything up to this position.
     Known(Position),
-    /// Unknown, because the session's writes are unknown; a barrier determines it.
+    /// Unknown, because the session's writes are unknown; a barrier determines
+    /// it.
     Unknown,
 }
 
@@ -77,11 +79,11 @@
 
 /// Chooses the member that serves a read.
 ///
-/// A replica can serve if its replayed position has reached the floor and its data
-/// is recent enough. Replicas in the zone are preferred, then the one with the
-/// fewest requests. If none can serve, the replicas are asked for new reports once,
-/// then given time to catch up until `wait_until_ms`, unless all of them are
-/// expected to take longer. After that the primary serves.
+/// A replica can serve if its replayed position has reached the floor and its
+/// data is recent enough. Replicas in the zone are preferred, then the one with
+/// the fewest requests. If none can serve, the replicas are asked for new
+/// reports once, then given time to catch up until `wait_until_ms`, unless all
+/// of them are expected to take longer. After that the primary serves.
 pub fn route(
     request: &ReadRequest,
     members: &[MemberView],
--- a/src/decide/takeover.rs
+++ b/src/decide/takeover.rs
@@ -1,9 +1,9 @@
 //! Replacement of a primary without loss of acknowledged commits.
 //!
 //! The primary acknowledges a commit once one other member has received it. So
-//! before a successor is chosen, either the primary must have stepped down or all
-//! the other members must have stopped receiving. After that no further commit is
-//! acknowledged.
+//! before a successor is chosen, either the primary must have stepped down or
+//! all the other members must have stopped receiving. After that no further
+//! commit is acknowledged.
 
 use crate::prelude::*;
 
@@ -45,7 +45,8 @@
 pub enum WaitReason {
     /// No member answered.
     NobodyFenced,
-    /// The primary may still acknowledge commits with a member that did not answer.
+    /// The primary may still acknowledge commits with a member that did not
+    /// answer.
     PrimaryMayAcknowledge,
     /// The members that answered lack commits that the primary may have
     /// acknowledged.
@@ -54,11 +55,12 @@
 
 /// Chooses the successor by the answers of the members.
 ///
-/// - If the primary stepped down, its log has every acknowledged commit. Another
-///   member that is as advanced is chosen, otherwise the primary itself. If all the
-///   others answered, the most advanced of them is chosen, because a commit that
-///   none of them received was never acknowledged.
-/// - If the primary did not answer, all the others must have answered or be gone.
+/// - If the primary stepped down, its log has every acknowledged commit.
+///   Another member that is as advanced is chosen, otherwise the primary
+///   itself. If all the others answered, the most advanced of them is chosen,
+///   because a commit that none of them received was never acknowledged.
+/// - If the primary did not answer, all the others must have answered or be
+///   gone.
 pub fn choose(candidates: &[Candidate]) -> Choice {
     let others = || candidates.iter().filter(|c| !c.is_primary);
     let answered = || others().filter(|c| c.fenced.is_some());
@@ -88,8 +90,8 @@
     }
 }
 
-/// Returns `best`, or if it is leaving, the primary, provided that it stepped down
-/// and stays.
+/// Returns `best`, or if it is leaving, the primary, provided that it stepped
+/// down and stays.
 fn prefer_staying(
     candidates: &[Candidate],
     best: &Candidate,
@@ -121,17 +123,18 @@
     pub silent_ms: u64,
     /// Number of consecutive questions that it did not answer.
     pub failures: u32,
-    /// Time for which commits have been stuck although it answers, in milliseconds.
+    /// Time for which commits have been stuck although it answers, in
+    /// milliseconds.
     pub stuck_ms: u64,
-    /// Time for which replicas have been fenced by an earlier attempt and receive
-    /// nothing, in milliseconds.
+    /// Time for which replicas have been fenced by an earlier attempt and
+    /// receive nothing, in milliseconds.
     pub held_ms: u64,
     /// Time for which no primary has been known, in milliseconds.
     pub missing_ms: u64,
     /// Whether another member answers; if none does, this VM is cut off itself.
     pub others_answer: bool,
-    /// Whether this VM connects to the primary directly. Through another VM, missing
-    /// answers may be that VM's fault.
+    /// Whether this VM connects to the primary directly. Through another VM,
+    /// missing answers may be that VM's fault.
     pub connects_to_primary: bool,
     /// Whether this VM connects to any member directly. Only such VMs replace a
     /// primary; the many others, which go through them, do not.
@@ -140,8 +143,8 @@
 
 /// A commit that waits on a primary that answers.
 ///
-/// It counts as stuck only once a replica is known to lack it. A late answer alone
-/// proves nothing: it may have been lost, or the primary may be busy.
+/// It counts as stuck only once a replica is known to lack it. A late answer
+/// alone proves nothing: it may have been lost, or the primary may be busy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StuckCommit {
     position: Option<Position>,
@@ -154,8 +157,8 @@
         self.position.get_or_insert(received);
     }
 
-    /// Records the position that a replica reported at `now_ms`. Returns `true` if
-    /// the replica has the commit, so that commits make progress.
+    /// Records the position that a replica reported at `now_ms`. Returns `true`
+    /// if the replica has the commit, so that commits make progress.
     pub fn note_replica(&mut self, received: Position, now_ms: u64) -> bool {
         let Some(position) = self.position else {
             return false;
@@ -167,7 +170,8 @@
         false
     }
 
-    /// Time for which a replica has been known to lack the commit, in milliseconds.
+    /// Time for which a replica has been known to lack the commit, in
+    /// milliseconds.
     pub fn stuck_ms(&self, now_ms: u64) -> u64 {
         let since_ms = self.lacking_since_ms;
         since_ms.map_or(0, |since_ms| now_ms.saturating_sub(since_ms))
@@ -201,7 +205,8 @@
     /// Time without an answer after which a primary counts as failed, in
     /// milliseconds.
     pub silent_ms: u64,
-    /// Minimum number of unanswered questions before a primary counts as failed.
+    /// Minimum number of unanswered questions before a primary counts as
+    /// failed.
     pub failures: u32,
     /// Time after which waiting commits count as stuck, in milliseconds.
     pub stuck_ms: u64,
--- a/src/decide/window.rs
+++ b/src/decide/window.rs
@@ -1,19 +1,19 @@
 //! Limit on the requests that a VM runs on a member at once.
 //!
-//! A member at its capacity refuses statements, and a refusal within a transaction
-//! fails the whole transaction. Therefore statements outside transactions are
-//! limited as soon as the member refuses any, like TCP's congestion window: additive
-//! increase, multiplicative decrease.
+//! A member at its capacity refuses statements, and a refusal within a
+//! transaction fails the whole transaction. Therefore statements outside
+//! transactions are limited as soon as the member refuses any, like TCP's
+//! congestion window: additive increase, multiplicative decrease.
 
-/// Initial size, before the member has refused any request: about its slots and a
-/// short queue.
+/// Initial size, before the member has refused any request: about its slots and
+/// a short queue.
 const START_SIZE: f64 = 8.0;
 /// Minimum size.
 const MIN_SIZE: f64 = 1.0;
 /// Maximum size: a member's queue is not longer.
 const MAX_SIZE: f64 = 24.0;
-/// Minimum time between two reductions, in milliseconds: requests sent before the
-/// first reduction may still be refused.
+/// Minimum time between two reductions, in milliseconds: requests sent before
+/// the first reduction may still be refused.
 const REDUCTION_PAUSE_MS: u64 = 60;
 
 /// Number of requests that may run at once.
@@ -38,7 +38,8 @@
         (running as f64) < self.size.floor()
     }
 
-    /// Records an answered request. The size grows by one per window of answers.
+    /// Records an answered request. The size grows by one per window of
+    /// answers.
     pub fn done(&mut self) {
         self.size = (self.size + 1.0 / self.size).min(MAX_SIZE);
     }
--- a/tests/decide_control.rs
+++ b/tests/decide_control.rs
@@ -225,7 +225,8 @@
     // Three requests wait, so a fourth is refused regardless of its deadline.
     assert!(matches!(queue.admit(1_000, 1), Admission::Refuse { .. }));
     assert_eq!(queue.pop(), Some("a"));
-    // Two requests ahead and the new one, 10 ms each on one connection, take 30 ms.
+    // Two requests ahead and the new one, 10 ms each on one connection, take 30
+    // ms.
     assert_eq!(queue.admit(29, 1), Admission::Refuse { retry_after_ms: 1 });
     assert_eq!(queue.admit(30, 1), Admission::Queue);
     assert_eq!(queue.admit(15, 2), Admission::Queue);
--- a/tests/decide_reads.rs
+++ b/tests/decide_reads.rs
@@ -1,5 +1,5 @@
-//! Tests of barriers, read routing, acknowledgement and the outcome of unconfirmed
-//! commits.
+//! Tests of barriers, read routing, acknowledgement and the outcome of
+//! unconfirmed commits.
 
 use foxtailknot::{
     decide::{
@@ -121,7 +121,8 @@
     assert_eq!(commit_outcome(&commit, now, 1, found), expected);
 }
 
-/// An inherited commit is safe only once it is confirmed in the new primary's term.
+/// An inherited commit is safe only once it is confirmed in the new primary's
+/// term.
 #[test]
 fn an_inherited_commit_waits_in_the_new_term() {
     let commit = Commit {
--- a/tests/decide_relay.rs
+++ b/tests/decide_relay.rs
@@ -1,5 +1,5 @@
-//! Tests of the relay's decisions: leadership checks, floors, connections, request
-//! windows, queues, takeovers and holders.
+//! Tests of the relay's decisions: leadership checks, floors, connections,
+//! request windows, queues, takeovers and holders.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -167,7 +167,8 @@
     assert_eq!(share_count(3, 0), 3);
 }
 
-/// The window shrinks when a member refuses requests and grows as it answers them.
+/// The window shrinks when a member refuses requests and grows as it answers
+/// them.
 #[test]
 fn window_follows_refusals() {
     let mut window = Window::default();
@@ -310,8 +311,8 @@
     assert_eq!(replacement_reason(&health, &SETTINGS), expected);
 }
 
-/// A late answer alone does not make a commit stuck: if a replica has received the
-/// primary's position, only the answer was lost.
+/// A late answer alone does not make a commit stuck: if a replica has received
+/// the primary's position, only the answer was lost.
 #[test]
 fn a_lost_answer_is_not_a_stuck_commit() {
     let mut stuck = StuckCommit::default();
@@ -323,8 +324,8 @@
     assert!(!stuck.is_lacking());
 }
 
-/// A primary that is too busy to report is not stuck: the time counts from the first
-/// report that shows a replica lacks the commit.
+/// A primary that is too busy to report is not stuck: the time counts from the
+/// first report that shows a replica lacks the commit.
 #[test]
 fn a_commit_is_stuck_once_a_replica_lacks_it() {
     let mut stuck = StuckCommit::default();
