--- a/tests/decide_control.rs
+++ b/tests/decide_control.rs
@@ -92,7 +92,7 @@
     }
 }
 
-fn member(name: &str) -> Membership {
+fn membership(name: &str) -> Membership {
     let settings = MembershipSettings::builder().build();
     Membership::new(settings, name.into(), place_of("zone-0"), 5)
 }
@@ -108,7 +108,7 @@
 
 #[test]
 fn a_silent_vm_is_suspected_then_dead_and_may_come_back() {
-    let mut own = member("a");
+    let mut own = membership("a");
     let other: Name = "b".into();
     own.listed(0, &other, &place_of("zone-1"), false);
     own.answered(10, &other, 3);
@@ -128,7 +128,7 @@
 
 #[test]
 fn a_vm_refutes_its_own_suspicion() {
-    let mut own = member("a");
+    let mut own = membership("a");
     own.merge(0, &[change("a", 5, Liveness::Suspect)]);
     assert_eq!(own.incarnation(), 6);
     let sent = own.outgoing();
@@ -142,7 +142,7 @@
 
 #[test]
 fn a_leaving_vm_stays_leaving() {
-    let mut own = member("a");
+    let mut own = membership("a");
     own.listed(0, &"b".into(), &place_of("zone-1"), false);
     own.merge(1, &[change("b", 0, Liveness::Leaving)]);
     assert!(!own.is_working("b"));
