--- a/standin/src/bench/endpoint.rs
+++ b/standin/src/bench/endpoint.rs
@@ -90,14 +90,17 @@
     }
 
     /// Cuts the member off from its peers, or ends that.
-    pub fn cut(&self, is_cut: bool) {
-        self.call(&format!("SELECT dbgroup_cut({})", u8::from(is_cut)));
+    pub fn set_partitioned(&self, is_partitioned: bool) {
+        self.call(&format!("SELECT dbgroup_cut({})", u8::from(is_partitioned)));
     }
 
     /// Cuts the member off from everybody, or ends that.
-    pub fn silence(&self, is_silent: bool) {
-        self.cut(is_silent);
-        self.call(&format!("SELECT dbgroup_silence({})", u8::from(is_silent)));
+    pub fn set_unreachable(&self, is_unreachable: bool) {
+        self.set_partitioned(is_unreachable);
+        self.call(&format!(
+            "SELECT dbgroup_silence({})",
+            u8::from(is_unreachable)
+        ));
     }
 
     /// Sets the delays of the member, in milliseconds.
--- a/standin/src/bench/files.rs
+++ b/standin/src/bench/files.rs
@@ -10,13 +10,14 @@
     /// # Panics
     ///
     /// Panics when the file can't be written.
-    pub fn write_site(&self, file: &str) {
+    pub fn write_config(&self, file: &str) {
         let path = self.folder().join(file);
-        std::fs::write(path, self.site_text(&self.settings.extra)).expect("a file can be written");
+        std::fs::write(path, self.config_text(&self.settings.extra))
+            .expect("a file can be written");
     }
 
     /// Configuration of this bench's services, with more lines for each.
-    pub fn site_text(&self, extra: &[String]) -> String {
+    pub fn config_text(&self, extra: &[String]) -> String {
         let mut text = String::from("services:\n");
         for (index, members) in self.endpoints.iter().enumerate() {
             let connections = self.settings.connections;
--- a/standin/src/bench/mod.rs
+++ b/standin/src/bench/mod.rs
@@ -72,8 +72,8 @@
         });
         bench.start_endpoints();
         bench.plan_proxies();
-        bench.list_vms();
-        bench.write_site("base.yaml");
+        bench.publish_vms();
+        bench.write_config("base.yaml");
         bench.apply("base.yaml");
         for index in 0..bench.proxies.len() {
             bench.start_proxy(index);
@@ -88,7 +88,7 @@
     }
 
     /// Addresses that callers use.
-    pub fn callers(&self) -> Vec<SocketAddr> {
+    pub fn caller_addresses(&self) -> Vec<SocketAddr> {
         self.proxies.iter().map(|proxy| proxy.callers).collect()
     }
 
@@ -102,7 +102,7 @@
     /// # Errors
     ///
     /// Returns the exit status and the error line.
-    pub fn tool(&self, args: &[&str]) -> Result<String, (i32, String)> {
+    pub fn run_cli(&self, args: &[&str]) -> Result<String, (i32, String)> {
         let output = std::process::Command::new(self.programs.join("foxtailknot"))
             .args(args)
             .env("FOXTAILKNOT_PLATFORM", self.platform.to_string())
@@ -124,7 +124,7 @@
         let path = self.folder.path().join(file);
         let path = path.to_string_lossy();
         let args = ["config", "apply", "--base", &path, "--wait-s", "0"];
-        self.tool(&args).expect("the configuration is accepted");
+        self.run_cli(&args).expect("the configuration is accepted");
     }
 
     /// Sets the platform's faults.
@@ -144,7 +144,7 @@
     /// # Panics
     ///
     /// Panics when the stand-in does not answer.
-    pub fn list_vms(&self) {
+    pub fn publish_vms(&self) {
         let vms: Vec<Vm> = self.proxies.iter().map(ProxyProcess::listed).collect();
         let url = format!("http://{}/control/vms", self.platform);
         ureq::put(&url)
@@ -205,7 +205,7 @@
     }
 
     /// Indices of the proxies that hold a slot of a service.
-    pub fn holders(&self, service: usize) -> Vec<usize> {
+    pub fn slot_holders(&self, service: usize) -> Vec<usize> {
         let row = self.row(service).unwrap_or_default();
         let slots = row["slots"].as_array().cloned().unwrap_or_default();
         let names = slots.iter().filter_map(|slot| slot["vm"].as_str());
@@ -227,9 +227,9 @@
     }
 
     /// As [`Bench::primary`], among all members but one.
-    pub fn primary_without(&self, service: usize, without: usize) -> Option<usize> {
+    pub fn primary_excluding(&self, service: usize, excluded: usize) -> Option<usize> {
         let members = self.endpoints[service].iter().enumerate();
-        let others = members.filter(|(index, _)| *index != without);
+        let others = members.filter(|(index, _)| *index != excluded);
         let leads = |member: &EndpointProcess| member.status().is_some_and(|s| s.is_primary);
         let mut leading = others.filter(|(_, member)| leads(member));
         leading.next().map(|(index, _)| index)
--- a/standin/src/bench/process.rs
+++ b/standin/src/bench/process.rs
@@ -52,7 +52,7 @@
     }
 
     /// Whether the process has ended, and how.
-    pub fn ended(&mut self) -> Option<i32> {
+    pub fn exit_code(&mut self) -> Option<i32> {
         let status = self.child.try_wait().ok()??;
         Some(status.code().unwrap_or(-1))
     }
--- a/standin/src/bin/load.rs
+++ b/standin/src/bin/load.rs
@@ -7,7 +7,7 @@
 use standin::{
     bench::{Bench, BenchSettings},
     load::{
-        caller::Carry,
+        caller::SessionTransfer,
         failover::{self, PrimaryFault},
         idle,
         latency::{self, LatencyPlan},
@@ -138,23 +138,23 @@
 
 fn measure_share(lags_ms: &[u64], reads: usize, replay: bool, acknowledge: &str) {
     let ways = [
-        ("staying", false, Carry::Token, ""),
-        ("moving, token", true, Carry::Token, ""),
+        ("staying", false, SessionTransfer::Token, ""),
+        ("moving, token", true, SessionTransfer::Token, ""),
         (
             "moving, nothing carried (barrier)",
             true,
-            Carry::Nothing,
+            SessionTransfer::Nothing,
             "",
         ),
         (
             "moving, token, age 2 s",
             true,
-            Carry::Token,
+            SessionTransfer::Token,
             "-c foxtailknot.max_age_ms=2000",
         ),
     ];
     for &lag_ms in lags_ms {
-        for (name, moves, carry, options) in ways {
+        for (name, switches_proxy, transfer, options) in ways {
             let settings = BenchSettings::builder()
                 .proxies(3)
                 .ship_lag_ms(if replay { 0 } else { lag_ms })
@@ -167,8 +167,8 @@
                 callers: 12,
                 reads,
                 reads_per_write: 20,
-                moves,
-                carry,
+                switches_proxy,
+                transfer,
                 options: options.to_owned(),
                 pace: Duration::from_millis(20),
             };
@@ -240,7 +240,7 @@
         .build();
     let mut bench = Bench::start(settings);
     let service = bench.service(0);
-    let holders = bench.holders(0);
+    let holders = bench.slot_holders(0);
     let forwarding = (0..bench.proxies.len()).find(|i| !holders.contains(i));
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(3)
@@ -279,13 +279,13 @@
     println!("starting the platform, three members and three proxies on loopback");
     let settings = BenchSettings::builder().proxies(3).connect_ms(12).build();
     let mut bench = Bench::start(settings);
-    println!("{}", bench.tool(&["status"]).unwrap_or_default());
+    println!("{}", bench.run_cli(&["status"]).unwrap_or_default());
     let plan = SharePlan {
         callers: 12,
         reads: 200,
         reads_per_write: 10,
-        moves: true,
-        carry: Carry::Nothing,
+        switches_proxy: true,
+        transfer: SessionTransfer::Nothing,
         options: String::new(),
         pace: Duration::from_millis(10),
     };
--- a/standin/src/history/check.rs
+++ b/standin/src/history/check.rs
@@ -2,23 +2,23 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::{Ended, Event, History};
+use super::{Event, History, WriteOutcome};
 
 /// A broken promise.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Violation {
     /// An acknowledged write is not stored.
-    Lost(String),
+    LostWrite(String),
     /// A write is stored more than once.
-    Doubled(String),
+    DuplicateWrite(String),
     /// A write was refused as not run, and is stored.
-    RanAfterAll(String),
+    RejectedWriteStored(String),
     /// A session did not see its own acknowledged write.
-    OwnWriteNotSeen(String),
+    StaleRead(String),
     /// A transaction was seen in part.
-    Mixed(usize),
+    FracturedRead(usize),
     /// A VM went back to an older configuration.
-    Reverted(usize),
+    ConfigurationReverted(usize),
 }
 
 /// Finds every broken promise in a history.
@@ -32,27 +32,27 @@
     let mut versions: BTreeMap<usize, u64> = BTreeMap::new();
     for event in &history.events {
         match event {
-            Event::Write { key, ended, .. } => {
+            Event::Write { key, outcome, .. } => {
                 let count = stored.get(key.as_str()).copied().unwrap_or(0);
-                found.extend(check_write(key, *ended, count));
-                if *ended == Ended::Done {
+                found.extend(check_write(key, *outcome, count));
+                if *outcome == WriteOutcome::Done {
                     done.insert(key);
                 }
             }
             Event::Read { key, seen, .. } => {
                 if *seen == 0 && done.contains(key.as_str()) {
-                    found.insert(Violation::OwnWriteNotSeen(key.clone()));
+                    found.insert(Violation::StaleRead(key.clone()));
                 }
             }
-            Event::Pair { session, halves } => {
-                if *halves == 1 {
-                    found.insert(Violation::Mixed(*session));
+            Event::Pair { session, rows_seen } => {
+                if *rows_seen == 1 {
+                    found.insert(Violation::FracturedRead(*session));
                 }
             }
             Event::Version { vm, version } => {
                 let before = versions.insert(*vm, *version);
                 if before.is_some_and(|before| before > *version) {
-                    found.insert(Violation::Reverted(*vm));
+                    found.insert(Violation::ConfigurationReverted(*vm));
                 }
             }
         }
@@ -60,12 +60,12 @@
     found.into_iter().collect()
 }
 
-fn check_write(key: &str, ended: Ended, count: usize) -> Option<Violation> {
+fn check_write(key: &str, outcome: WriteOutcome, count: usize) -> Option<Violation> {
     let key = key.to_owned();
-    match (ended, count) {
-        (_, 2..) => Some(Violation::Doubled(key)),
-        (Ended::Done, 0) => Some(Violation::Lost(key)),
-        (Ended::NotRun, 1) => Some(Violation::RanAfterAll(key)),
+    match (outcome, count) {
+        (_, 2..) => Some(Violation::DuplicateWrite(key)),
+        (WriteOutcome::Done, 0) => Some(Violation::LostWrite(key)),
+        (WriteOutcome::NotRun, 1) => Some(Violation::RejectedWriteStored(key)),
         _ => None,
     }
 }
--- a/standin/src/history/event.rs
+++ b/standin/src/history/event.rs
@@ -2,7 +2,7 @@
 
 /// How a write ended for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
-pub enum Ended {
+pub enum WriteOutcome {
     /// Acknowledged.
     Done,
     /// Refused with the word that it was not run.
@@ -21,7 +21,7 @@
         /// Key of the entry; no two writes have the same.
         key: String,
         /// How it ended.
-        ended: Ended,
+        outcome: WriteOutcome,
     },
     /// It counted an entry of its own.
     Read {
@@ -32,12 +32,12 @@
         /// Times the entry was seen.
         seen: usize,
     },
-    /// It wrote a pair in one transaction, then saw this many halves.
+    /// It wrote a pair in one transaction, then saw this many of its rows.
     Pair {
         /// Session.
         session: usize,
-        /// Halves that were seen at once.
-        halves: usize,
+        /// Rows of the transaction that one read returned.
+        rows_seen: usize,
     },
     /// A VM reported its configuration version.
     Version {
--- a/standin/src/history/mod.rs
+++ b/standin/src/history/mod.rs
@@ -4,4 +4,4 @@
 mod event;
 
 pub use check::{Violation, check};
-pub use event::{Ended, Event, History};
+pub use event::{Event, History, WriteOutcome};
--- a/standin/src/load/caller.rs
+++ b/standin/src/load/caller.rs
@@ -1,4 +1,4 @@
-//! A caller that can move between proxies and carry its session.
+//! A caller that can move between proxies and transfer its session.
 
 use std::{
     collections::BTreeMap,
@@ -9,7 +9,7 @@
 
 use tokio_postgres::{Client, NoTls, SimpleQueryMessage};
 
-use crate::history::Ended;
+use crate::history::WriteOutcome;
 
 /// Longest wait for a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
@@ -21,7 +21,7 @@
 /// How a caller carries its session to the next connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display, strum::EnumString)]
 #[strum(serialize_all = "snake_case")]
-pub enum Carry {
+pub enum SessionTransfer {
     /// It presents its token.
     Token,
     /// It presents nothing.
@@ -33,8 +33,8 @@
     addresses: Vec<SocketAddr>,
     service: String,
     next: usize,
-    moves: bool,
-    carry: Carry,
+    switches_proxy: bool,
+    transfer: SessionTransfer,
     options: String,
     token: Option<String>,
     client: Option<Client>,
@@ -45,13 +45,13 @@
 
 /// A failed request.
 #[derive(Clone, Debug)]
-pub struct Failed {
+pub struct RequestError {
     /// SQLSTATE, or `connection`.
     pub state: String,
     /// Text with the number.
     pub text: String,
     /// What is known of the outcome.
-    pub ended: Ended,
+    pub outcome: WriteOutcome,
 }
 
 impl Caller {
@@ -61,8 +61,8 @@
             addresses: addresses.to_vec(),
             service: service.to_owned(),
             next: first,
-            moves: false,
-            carry: Carry::Token,
+            switches_proxy: false,
+            transfer: SessionTransfer::Token,
             options: String::new(),
             token: None,
             client: None,
@@ -72,9 +72,9 @@
     }
 
     /// Makes every request use another proxy.
-    pub fn moving(mut self, carry: Carry) -> Caller {
-        self.moves = true;
-        self.carry = carry;
+    pub fn moving(mut self, transfer: SessionTransfer) -> Caller {
+        self.switches_proxy = true;
+        self.transfer = transfer;
         self
     }
 
@@ -94,7 +94,7 @@
     /// # Errors
     ///
     /// Returns what is known of the outcome.
-    pub async fn run(&mut self, sql: &str) -> Result<Vec<String>, Failed> {
+    pub async fn run(&mut self, sql: &str) -> Result<Vec<String>, RequestError> {
         if self.client.as_ref().is_none_or(Client::is_closed) {
             self.client = Some(self.connect().await?);
         }
@@ -106,10 +106,10 @@
             Ok(Ok(answer)) => values(&answer),
             Err(_) => {
                 self.client = None;
-                return Err(Failed {
+                return Err(RequestError {
                     state: "timeout".into(),
                     text: "no answer".into(),
-                    ended: Ended::Unknown,
+                    outcome: WriteOutcome::Unknown,
                 });
             }
             Ok(Err(error)) => {
@@ -128,7 +128,7 @@
                 return Err(failed);
             }
         };
-        if self.moves {
+        if self.switches_proxy {
             self.learn_token().await;
             self.client = None;
         }
@@ -145,7 +145,7 @@
             .or(self.token.take());
     }
 
-    async fn connect(&mut self) -> Result<Client, Failed> {
+    async fn connect(&mut self) -> Result<Client, RequestError> {
         let mut last = not_connected("no proxy");
         for _ in 0..self.addresses.len() {
             let address = self.addresses[self.next % self.addresses.len()];
@@ -178,7 +178,11 @@
         config.user("load");
         config.dbname(&self.service);
         let mut options = self.options.clone();
-        if let Some(token) = self.token.as_ref().filter(|_| self.carry == Carry::Token) {
+        if let Some(token) = self
+            .token
+            .as_ref()
+            .filter(|_| self.transfer == SessionTransfer::Token)
+        {
             options += &format!(" -c foxtailknot.session_token={token}");
         }
         config.options(options.trim());
@@ -204,30 +208,30 @@
     rows.collect()
 }
 
-fn failed(error: &tokio_postgres::Error) -> Failed {
+fn failed(error: &tokio_postgres::Error) -> RequestError {
     let Some(db) = error.as_db_error() else {
         // A connection that broke says nothing of the outcome.
-        return Failed {
+        return RequestError {
             state: "connection".into(),
             text: error.to_string(),
-            ended: Ended::Unknown,
+            outcome: WriteOutcome::Unknown,
         };
     };
     let is_unknown = db.detail().is_some_and(|d| d.contains("unknown"));
-    Failed {
+    RequestError {
         state: db.code().code().to_owned(),
         text: db.message().to_owned(),
-        ended: match is_unknown {
-            true => Ended::Unknown,
-            false => Ended::NotRun,
+        outcome: match is_unknown {
+            true => WriteOutcome::Unknown,
+            false => WriteOutcome::NotRun,
         },
     }
 }
 
-fn not_connected(text: &str) -> Failed {
-    Failed {
+fn not_connected(text: &str) -> RequestError {
+    RequestError {
         state: "connect".into(),
         text: text.to_owned(),
-        ended: Ended::NotRun,
+        outcome: WriteOutcome::NotRun,
     }
 }
--- a/standin/src/load/failover.rs
+++ b/standin/src/load/failover.rs
@@ -6,8 +6,8 @@
 };
 
 use super::{
-    caller::Carry,
-    writers::{Plan, TABLE_SQL, Writers},
+    caller::SessionTransfer,
+    writers::{TABLE_SQL, Writers, WritersPlan},
 };
 use crate::{
     bench::{Bench, wait_until},
@@ -77,16 +77,16 @@
     platform_down: bool,
 ) -> FailoverReport {
     let runtime = super::runtime();
-    let addresses = bench.callers();
+    let addresses = bench.caller_addresses();
     let prefix = format!(
         "f{}",
         Instant::now().elapsed().as_nanos() ^ rand::random::<u128>()
     );
-    let plan = Plan {
+    let plan = WritersPlan {
         sessions,
         writes: usize::MAX,
-        moves: false,
-        carry: Carry::Token,
+        switches_proxy: false,
+        transfer: SessionTransfer::Token,
         pace: Duration::from_millis(2),
         prefix,
     };
@@ -94,7 +94,7 @@
     let _entered = runtime.enter();
     let writers = Writers::start(&addresses, &bench.service(0), &plan);
     wait_until("writes land", RESUME_TIMEOUT, || {
-        writers.done() >= WRITES_AROUND
+        writers.acknowledged() >= WRITES_AROUND
     });
     if platform_down {
         bench.set_faults(&Faults {
@@ -106,7 +106,7 @@
     cause(bench, fault, before);
     let mut after = before;
     wait_until("another member leads", RESUME_TIMEOUT, || {
-        match bench.primary_without(0, before) {
+        match bench.primary_excluding(0, before) {
             Some(leader) => {
                 after = leader;
                 true
@@ -114,16 +114,16 @@
             None => false,
         }
     });
-    let done = writers.done();
+    let done = writers.acknowledged();
     wait_until("writes go on", RESUME_TIMEOUT, || {
-        writers.done() >= done + WRITES_AROUND
+        writers.acknowledged() >= done + WRITES_AROUND
     });
     heal(bench, fault, before);
     let log = runtime.block_on(writers.stop());
     bench.set_faults(&Faults::default());
     // Another member may lead by now.
     let leader = bench.primary(0).expect("a member leads");
-    let stored = stored(bench, leader);
+    let stored = stored_keys(bench, leader);
     FailoverReport {
         gap: log.gap_after(failed_at),
         failures: log.failures.clone(),
@@ -142,8 +142,8 @@
     match fault {
         PrimaryFault::Kill | PrimaryFault::KillWithDelegate => endpoint.kill(),
         PrimaryFault::Freeze => endpoint.freeze(),
-        PrimaryFault::CutFromPeers => endpoint.cut(true),
-        PrimaryFault::Silence => endpoint.silence(true),
+        PrimaryFault::CutFromPeers => endpoint.set_partitioned(true),
+        PrimaryFault::Silence => endpoint.set_unreachable(true),
     }
 }
 
@@ -151,8 +151,8 @@
     match fault {
         PrimaryFault::Kill | PrimaryFault::KillWithDelegate => bench.restart_endpoint(0, member),
         PrimaryFault::Freeze => bench.endpoints[0][member].thaw(),
-        PrimaryFault::CutFromPeers => bench.endpoints[0][member].cut(false),
-        PrimaryFault::Silence => bench.endpoints[0][member].silence(false),
+        PrimaryFault::CutFromPeers => bench.endpoints[0][member].set_partitioned(false),
+        PrimaryFault::Silence => bench.endpoints[0][member].set_unreachable(false),
     }
     let endpoint = &bench.endpoints[0][member];
     wait_until("the member follows again", RESUME_TIMEOUT, || {
@@ -167,7 +167,7 @@
 /// # Panics
 ///
 /// Panics when the member does not answer.
-pub fn stored(bench: &Bench, member: usize) -> Vec<String> {
+pub fn stored_keys(bench: &Bench, member: usize) -> Vec<String> {
     let client = bench.endpoints[0][member].connect();
     let rows = client.and_then(|mut c| c.simple_query("SELECT key FROM entries").ok());
     let rows = rows.expect("the primary answers");
--- a/standin/src/load/share.rs
+++ b/standin/src/load/share.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::{
-    caller::{Caller, Carry},
+    caller::{Caller, SessionTransfer},
     failover::create_table,
 };
 use crate::bench::Bench;
@@ -18,9 +18,9 @@
     /// Reads between two writes of a caller.
     pub reads_per_write: usize,
     /// Whether every request uses another proxy.
-    pub moves: bool,
+    pub switches_proxy: bool,
     /// How the session is carried.
-    pub carry: Carry,
+    pub transfer: SessionTransfer,
     /// Startup options, such as a stated age.
     pub options: String,
     /// Pause between two requests of a caller.
@@ -60,7 +60,7 @@
     create_table(bench);
     let before = counts(bench);
     let runtime = super::runtime();
-    let addresses = bench.callers();
+    let addresses = bench.caller_addresses();
     let service = bench.service(0);
     let mut times = hdrhistogram::Histogram::<u64>::new(3).expect("three digits are possible");
     let mut report = ShareReport::default();
@@ -68,8 +68,8 @@
         let tasks: Vec<_> = (0..plan.callers)
             .map(|index| {
                 let caller = Caller::new(&addresses, &service, index).with_options(&plan.options);
-                let caller = match plan.moves {
-                    true => caller.moving(plan.carry),
+                let caller = match plan.switches_proxy {
+                    true => caller.moving(plan.transfer),
                     false => caller,
                 };
                 tokio::spawn(run_caller(caller, index, plan.clone()))
--- a/standin/src/load/writers.rs
+++ b/standin/src/load/writers.rs
@@ -10,8 +10,8 @@
     time::{Duration, Instant},
 };
 
-use super::caller::{Caller, Carry};
-use crate::history::{Ended, Event, History};
+use super::caller::{Caller, SessionTransfer};
+use crate::history::{Event, History, WriteOutcome};
 
 /// Table that the sessions write to.
 pub const TABLE_SQL: &str = "CREATE TABLE entries (key TEXT NOT NULL, half INTEGER)";
@@ -22,15 +22,15 @@
 
 /// What the sessions do.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct WritersPlan {
     /// Sessions at once.
     pub sessions: usize,
     /// Writes of each session; it stops earlier when told to.
     pub writes: usize,
     /// Whether every request uses another proxy.
-    pub moves: bool,
+    pub switches_proxy: bool,
     /// How the session is carried.
-    pub carry: Carry,
+    pub transfer: SessionTransfer,
     /// Pause between two writes of a session.
     pub pace: Duration,
     /// Prefix of the keys.
@@ -39,7 +39,7 @@
 
 /// When writes ended, and how.
 #[derive(Clone, Debug, Default)]
-pub struct Log {
+pub struct WriteLog {
     /// Times of acknowledged writes since the start.
     pub done: Vec<Duration>,
     /// Failures by SQLSTATE and number.
@@ -50,23 +50,23 @@
 
 /// A running load.
 pub struct Writers {
-    log: Arc<Mutex<Log>>,
+    log: Arc<Mutex<WriteLog>>,
     stop: Arc<AtomicBool>,
     tasks: Vec<tokio::task::JoinHandle<()>>,
-    /// Start of the clock of [`Log::done`].
+    /// Start of the clock of [`WriteLog::done`].
     pub started: Instant,
 }
 
 impl Writers {
     /// Starts the sessions.
-    pub fn start(addresses: &[SocketAddr], service: &str, plan: &Plan) -> Writers {
-        let log = Arc::new(Mutex::new(Log::default()));
+    pub fn start(addresses: &[SocketAddr], service: &str, plan: &WritersPlan) -> Writers {
+        let log = Arc::new(Mutex::new(WriteLog::default()));
         let stop = Arc::new(AtomicBool::new(false));
         let started = Instant::now();
         let tasks = (0..plan.sessions).map(|session| {
             let caller = Caller::new(addresses, service, session);
-            let caller = match plan.moves {
-                true => caller.moving(plan.carry),
+            let caller = match plan.switches_proxy {
+                true => caller.moving(plan.transfer),
                 false => caller,
             };
             let run = run_session(
@@ -92,22 +92,22 @@
     /// # Panics
     ///
     /// Panics when a session panicked.
-    pub fn done(&self) -> usize {
+    pub fn acknowledged(&self) -> usize {
         self.log.lock().expect("no session panics").done.len()
     }
 
     /// Lets the sessions finish all their writes.
-    pub async fn finish(self) -> Log {
+    pub async fn finish(self) -> WriteLog {
         self.collect().await
     }
 
     /// Stops the sessions after the request that each is in.
-    pub async fn stop(self) -> Log {
+    pub async fn stop(self) -> WriteLog {
         self.stop.store(true, Ordering::Relaxed);
         self.collect().await
     }
 
-    async fn collect(self) -> Log {
+    async fn collect(self) -> WriteLog {
         for task in self.tasks {
             // A panic shows as missing writes.
             let _ = task.await;
@@ -119,8 +119,8 @@
 async fn run_session(
     mut caller: Caller,
     session: usize,
-    plan: Plan,
-    log: Arc<Mutex<Log>>,
+    plan: WritersPlan,
+    log: Arc<Mutex<WriteLog>>,
     stop: Arc<AtomicBool>,
     started: Instant,
 ) {
@@ -131,14 +131,14 @@
         let key = format!("{}-{session}-{number}", plan.prefix);
         let sql = format!("INSERT INTO entries (key, half) VALUES ('{key}', 0)");
         let written = caller.run(&sql).await;
-        let ended = match &written {
-            Ok(_) => Ended::Done,
-            Err(failed) => failed.ended,
+        let outcome = match &written {
+            Ok(_) => WriteOutcome::Done,
+            Err(failed) => failed.outcome,
         };
         let event = Event::Write {
             session,
             key: key.clone(),
-            ended,
+            outcome,
         };
         note(&log, started, event, written.as_ref().err());
         if written.is_err() {
@@ -150,7 +150,7 @@
             let seen = values.first().and_then(|v| v.parse().ok()).unwrap_or(0);
             note(&log, started, Event::Read { session, key, seen }, None);
         }
-        if number % PAIR_EVERY == 0 && !plan.moves {
+        if number % PAIR_EVERY == 0 && !plan.switches_proxy {
             run_pair(&mut caller, session, number, &plan.prefix, &log, started).await;
         }
         if !plan.pace.is_zero() {
@@ -159,44 +159,49 @@
     }
 }
 
-/// Writes two halves in one transaction and counts them at once afterwards.
+/// Writes two rows in one transaction and counts them at once afterwards.
 async fn run_pair(
     caller: &mut Caller,
     session: usize,
     number: usize,
     prefix: &str,
-    log: &Mutex<Log>,
+    log: &Mutex<WriteLog>,
     started: Instant,
 ) {
     let key = format!("{prefix}-{session}-{number}-pair");
-    let mut ended = caller.run("BEGIN").await.map(|_| ());
+    let mut outcome = caller.run("BEGIN").await.map(|_| ());
     for half in [1, 2] {
         let sql = format!("INSERT INTO entries (key, half) VALUES ('{key}-{half}', {half})");
-        if ended.is_ok() {
-            ended = caller.run(&sql).await.map(|_| ());
+        if outcome.is_ok() {
+            outcome = caller.run(&sql).await.map(|_| ());
         }
     }
-    if ended.is_ok() {
-        ended = caller.run("COMMIT").await.map(|_| ());
+    if outcome.is_ok() {
+        outcome = caller.run("COMMIT").await.map(|_| ());
     }
-    if ended.is_err() {
+    if outcome.is_err() {
         // Whether it was open or not, it must not be open for what follows.
         let _ = caller.run("ROLLBACK").await;
     }
     let sql = format!("SELECT count(*) FROM entries WHERE key LIKE '{key}-%'");
     if let Ok(values) = caller.run(&sql).await {
-        let halves = values.first().and_then(|v| v.parse().ok()).unwrap_or(0);
-        let failed = ended.as_ref().err();
-        note(log, started, Event::Pair { session, halves }, failed);
+        let rows_seen = values.first().and_then(|v| v.parse().ok()).unwrap_or(0);
+        let failed = outcome.as_ref().err();
+        note(log, started, Event::Pair { session, rows_seen }, failed);
     }
 }
 
-fn note(log: &Mutex<Log>, started: Instant, event: Event, failed: Option<&super::caller::Failed>) {
+fn note(
+    log: &Mutex<WriteLog>,
+    started: Instant,
+    event: Event,
+    failed: Option<&super::caller::RequestError>,
+) {
     let mut log = log.lock().expect("no session panics");
     let is_done = matches!(
         event,
         Event::Write {
-            ended: Ended::Done,
+            outcome: WriteOutcome::Done,
             ..
         }
     );
@@ -211,7 +216,7 @@
     log.events.push(event);
 }
 
-impl Log {
+impl WriteLog {
     /// Longest time without an acknowledged write after `since`.
     pub fn gap_after(&self, since: Duration) -> Duration {
         let mut times: Vec<Duration> = self.done.iter().copied().filter(|t| *t >= since).collect();
--- a/tests/checker.rs
+++ b/tests/checker.rs
@@ -3,13 +3,13 @@
 
 mod common;
 
-use standin::history::{Ended, Event, History, Violation, check};
+use standin::history::{Event, History, Violation, WriteOutcome, check};
 
-fn write(key: &str, ended: Ended) -> Event {
+fn write(key: &str, outcome: WriteOutcome) -> Event {
     Event::Write {
         session: 0,
         key: key.into(),
-        ended,
+        outcome,
     }
 }
 
@@ -38,12 +38,12 @@
     finds:
     nothing_in_a_good_history(
         vec![
-            write("a", Ended::Done),
+            write("a", WriteOutcome::Done),
             read("a", 1),
-            write("b", Ended::Unknown),
-            write("c", Ended::Unknown),
-            write("d", Ended::NotRun),
-            Event::Pair { session: 0, halves: 2 },
+            write("b", WriteOutcome::Unknown),
+            write("c", WriteOutcome::Unknown),
+            write("d", WriteOutcome::NotRun),
+            Event::Pair { session: 0, rows_seen: 2 },
             version(1),
             version(2),
         ],
@@ -51,33 +51,33 @@
         &[],
     ),
     a_lost_write(
-        vec![write("a", Ended::Done)],
+        vec![write("a", WriteOutcome::Done)],
         &[],
-        &[Violation::Lost("a".into())],
+        &[Violation::LostWrite("a".into())],
     ),
     a_doubled_write(
-        vec![write("a", Ended::Unknown)],
+        vec![write("a", WriteOutcome::Unknown)],
         &["a", "a"],
-        &[Violation::Doubled("a".into())],
+        &[Violation::DuplicateWrite("a".into())],
     ),
     a_write_that_ran_after_all(
-        vec![write("a", Ended::NotRun)],
+        vec![write("a", WriteOutcome::NotRun)],
         &["a"],
-        &[Violation::RanAfterAll("a".into())],
+        &[Violation::RejectedWriteStored("a".into())],
     ),
     an_own_write_not_seen(
-        vec![write("a", Ended::Done), read("a", 0)],
+        vec![write("a", WriteOutcome::Done), read("a", 0)],
         &["a"],
-        &[Violation::OwnWriteNotSeen("a".into())],
+        &[Violation::StaleRead("a".into())],
     ),
     a_mixed_transaction(
-        vec![Event::Pair { session: 7, halves: 1 }],
+        vec![Event::Pair { session: 7, rows_seen: 1 }],
         &[],
-        &[Violation::Mixed(7)],
+        &[Violation::FracturedRead(7)],
     ),
     a_reverted_configuration(
         vec![version(2), version(1)],
         &[],
-        &[Violation::Reverted(3)],
+        &[Violation::ConfigurationReverted(3)],
     ),
 }
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -11,12 +11,12 @@
 
 fn write(bench: &Bench, file: &str, line: &str) -> String {
     let path = bench.folder().join(file);
-    std::fs::write(&path, bench.site_text(&[line.to_owned()])).unwrap();
+    std::fs::write(&path, bench.config_text(&[line.to_owned()])).unwrap();
     path.to_string_lossy().into_owned()
 }
 
 fn version(bench: &Bench, index: usize) -> Option<u64> {
-    let text = bench.tool(&["status", "--json"]).ok()?;
+    let text = bench.run_cli(&["status", "--json"]).ok()?;
     let reports: serde_json::Value = serde_json::from_str(&text).ok()?;
     let reports = reports.as_array()?;
     let vm = bench.proxies[index].vm.as_str();
@@ -28,10 +28,12 @@
 fn an_accepted_change_is_in_force_everywhere() {
     let bench = start(6);
     let file = write(&bench, "next.yaml", "queue_deadline_ms: 4000");
-    let output = bench.tool(&["config", "apply", "--base", &file]).unwrap();
+    let output = bench
+        .run_cli(&["config", "apply", "--base", &file])
+        .unwrap();
     assert!(output.contains("in force on 6 VMs"), "{output}");
     let again = bench
-        .tool(&["config", "apply", "--base", &file])
+        .run_cli(&["config", "apply", "--base", &file])
         .unwrap_err();
     assert!(again.1.contains("FK501"), "{}", again.1);
 }
@@ -44,7 +46,7 @@
         ..Faults::default()
     });
     let file = write(&bench, "next.yaml", "queue_deadline_ms: 4000");
-    let output = bench.tool(&["config", "apply", "--base", &file, "--wait-s", "9"]);
+    let output = bench.run_cli(&["config", "apply", "--base", &file, "--wait-s", "9"]);
     assert!(output.is_ok(), "{output:?}");
 }
 
@@ -66,7 +68,7 @@
             .iter()
             .map(|file| {
                 scope.spawn(move || {
-                    bench.tool(&["config", "apply", "--base", file, "--wait-s", "0"])
+                    bench.run_cli(&["config", "apply", "--base", file, "--wait-s", "0"])
                 })
             })
             .collect();
@@ -87,14 +89,14 @@
         lose_answers: 1,
         ..Faults::default()
     });
-    let first = bench.tool(&["config", "apply", "--base", &file, "--wait-s", "0"]);
+    let first = bench.run_cli(&["config", "apply", "--base", &file, "--wait-s", "0"]);
     let output = match first {
         Ok(output) => output,
         // The object's answer was lost: nothing was accepted yet.
         Err((_, text)) => {
             assert!(text.contains("FK601"), "{text}");
             bench
-                .tool(&["config", "apply", "--base", &file, "--wait-s", "0"])
+                .run_cli(&["config", "apply", "--base", &file, "--wait-s", "0"])
                 .unwrap()
         }
     };
@@ -105,7 +107,9 @@
 fn a_new_vm_takes_the_configuration_from_another_while_the_platform_is_down() {
     let mut bench = start(4);
     let file = write(&bench, "next.yaml", "queue_deadline_ms: 4000");
-    bench.tool(&["config", "apply", "--base", &file]).unwrap();
+    bench
+        .run_cli(&["config", "apply", "--base", &file])
+        .unwrap();
     bench.set_faults(&Faults {
         down: true,
         ..Faults::default()
@@ -132,7 +136,7 @@
         std::fs::write(&path, text).unwrap();
         let file = path.to_string_lossy().into_owned();
         let (status, error) = bench
-            .tool(&["config", "check", "--base", &file])
+            .run_cli(&["config", "check", "--base", &file])
             .unwrap_err();
         assert_eq!(status, 2, "{error}");
         assert!(
--- a/tests/failover.rs
+++ b/tests/failover.rs
@@ -9,9 +9,9 @@
     bench::{Bench, BenchSettings, wait_until},
     history::{Violation, check},
     load::{
-        caller::Carry,
-        failover::{PrimaryFault, create_table, run, stored},
-        writers::{Plan, Writers},
+        caller::SessionTransfer,
+        failover::{PrimaryFault, create_table, run, stored_keys},
+        writers::{Writers, WritersPlan},
     },
 };
 
@@ -56,17 +56,17 @@
     bench.endpoints[0][2].set_lag(3_000, 0);
     let runtime = tokio::runtime::Runtime::new().unwrap();
     let _entered = runtime.enter();
-    let addresses = bench.callers();
-    let plan = Plan {
+    let addresses = bench.caller_addresses();
+    let plan = WritersPlan {
         sessions: 4,
         writes: usize::MAX,
-        moves: false,
-        carry: Carry::Token,
+        switches_proxy: false,
+        transfer: SessionTransfer::Token,
         pace: Duration::from_millis(2),
         prefix: "w".into(),
     };
     let writers = Writers::start(&addresses, &bench.service(0), &plan);
-    wait_until("writes land", TIMEOUT, || writers.done() >= 100);
+    wait_until("writes land", TIMEOUT, || writers.acknowledged() >= 100);
     let members = &bench.endpoints[0];
     let term = |member: usize| members[member].status().map_or(0, |s| s.term);
     members[0].freeze();
@@ -91,7 +91,7 @@
     let log = runtime.block_on(writers.stop());
     members[1].thaw();
     let leader = bench.primary(0).unwrap();
-    let violations = check(&log.history(stored(&bench, leader)));
+    let violations = check(&log.history(stored_keys(&bench, leader)));
     assert_eq!(violations, Vec::new(), "member {leader} leads");
 }
 
@@ -104,11 +104,11 @@
     let mut client = bench.proxies[0].connect(&bench.service(0)).unwrap();
     let sql = "INSERT INTO entries (key, half) VALUES ($1, 0) RETURNING key";
     let insert = client.prepare(sql).unwrap();
-    bench.endpoints[0][0].cut(true);
+    bench.endpoints[0][0].set_partitioned(true);
     let row = client.query_one(&insert, &[&"once"]).unwrap();
     assert_eq!(row.get::<_, String>(0), "once");
-    let leader = bench.primary_without(0, 0).unwrap();
-    assert_eq!(stored(&bench, leader), ["once"]);
+    let leader = bench.primary_excluding(0, 0).unwrap();
+    assert_eq!(stored_keys(&bench, leader), ["once"]);
 }
 
 /// The checker sees what the confirmation is for: where the primary's answer
@@ -122,6 +122,6 @@
     let mut bench = Bench::start(settings);
     create_table(&bench);
     let report = run(&mut bench, PrimaryFault::CutFromPeers, 8, false);
-    let is_lost = |v: &Violation| matches!(v, Violation::Lost(_));
+    let is_lost = |v: &Violation| matches!(v, Violation::LostWrite(_));
     assert!(report.violations.iter().any(is_lost));
 }
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -9,9 +9,9 @@
     bench::{Bench, BenchSettings, signal, wait_until},
     history::{Violation, check},
     load::{
-        caller::Carry,
-        failover::{create_table, stored},
-        writers::{Log, Plan, Writers},
+        caller::SessionTransfer,
+        failover::{create_table, stored_keys},
+        writers::{WriteLog, Writers, WritersPlan},
     },
     platform::Faults,
 };
@@ -32,35 +32,43 @@
     ReplicasBehind,
 }
 
-fn plan(moves: bool, carry: Carry) -> Plan {
-    Plan {
+fn plan(switches_proxy: bool, transfer: SessionTransfer) -> WritersPlan {
+    WritersPlan {
         sessions: 8,
         writes: usize::MAX,
-        moves,
-        carry,
+        switches_proxy,
+        transfer,
         pace: Duration::from_millis(1),
         prefix: "w".into(),
     }
 }
 
 /// Runs sessions through a fault; returns what they saw and the bench.
-fn run(fault: Fault, moves: bool, carry: Carry) -> (Log, Bench) {
+fn run(fault: Fault, switches_proxy: bool, transfer: SessionTransfer) -> (WriteLog, Bench) {
     let settings = BenchSettings::builder().proxies(5).ship_lag_ms(10).build();
     let mut bench = Bench::start(settings);
     create_table(&bench);
     let runtime = tokio::runtime::Runtime::new().unwrap();
     let _entered = runtime.enter();
-    let addresses = bench.callers();
-    let writers = Writers::start(&addresses, &bench.service(0), &plan(moves, carry));
-    wait_until("writes land", TIMEOUT, || writers.done() >= 100);
-    let victim = bench.holders(0)[0];
+    let addresses = bench.caller_addresses();
+    let writers = Writers::start(
+        &addresses,
+        &bench.service(0),
+        &plan(switches_proxy, transfer),
+    );
+    wait_until("writes land", TIMEOUT, || writers.acknowledged() >= 100);
+    let victim = bench.slot_holders(0)[0];
     strike(&mut bench, fault, victim);
-    let done = writers.done();
-    wait_until("writes go on", TIMEOUT, || writers.done() >= done + 300);
+    let done = writers.acknowledged();
+    wait_until("writes go on", TIMEOUT, || {
+        writers.acknowledged() >= done + 300
+    });
     if let Fault::FreezeProxy = fault {
         bench.proxies[victim].process().unwrap().signal("CONT");
-        let done = writers.done();
-        wait_until("writes go on", TIMEOUT, || writers.done() >= done + 100);
+        let done = writers.acknowledged();
+        wait_until("writes go on", TIMEOUT, || {
+            writers.acknowledged() >= done + 100
+        });
     }
     (runtime.block_on(writers.stop()), bench)
 }
@@ -87,10 +95,10 @@
     }
 }
 
-fn keeps_every_promise(fault: Fault, moves: bool, carry: Carry) {
-    let (log, bench) = run(fault, moves, carry);
+fn keeps_every_promise(fault: Fault, switches_proxy: bool, transfer: SessionTransfer) {
+    let (log, bench) = run(fault, switches_proxy, transfer);
     let leader = bench.primary(0).unwrap();
-    let violations = check(&log.history(stored(&bench, leader)));
+    let violations = check(&log.history(stored_keys(&bench, leader)));
     assert_eq!(violations, Vec::<Violation>::new(), "{:?}", log.failures);
     let budget = bench.settings.connections as usize;
     for member in &bench.endpoints[0] {
@@ -101,22 +109,22 @@
 
 common::cases! {
     keeps_every_promise:
-    sessions_that_stay(Fault::None, false, Carry::Token),
-    sessions_that_move_with_a_token(Fault::None, true, Carry::Token),
-    sessions_that_move_with_nothing(Fault::None, true, Carry::Nothing),
-    a_killed_holder(Fault::KillProxy, true, Carry::Token),
-    a_frozen_holder(Fault::FreezeProxy, true, Carry::Nothing),
-    a_holder_that_stops(Fault::StopProxy, true, Carry::Token),
-    the_platform_down(Fault::PlatformDown, true, Carry::Nothing),
-    the_platform_slow(Fault::PlatformSlow, true, Carry::Token),
-    replicas_far_behind(Fault::ReplicasBehind, true, Carry::Nothing),
+    sessions_that_stay(Fault::None, false, SessionTransfer::Token),
+    sessions_that_move_with_a_token(Fault::None, true, SessionTransfer::Token),
+    sessions_that_move_with_nothing(Fault::None, true, SessionTransfer::Nothing),
+    a_killed_holder(Fault::KillProxy, true, SessionTransfer::Token),
+    a_frozen_holder(Fault::FreezeProxy, true, SessionTransfer::Nothing),
+    a_holder_that_stops(Fault::StopProxy, true, SessionTransfer::Token),
+    the_platform_down(Fault::PlatformDown, true, SessionTransfer::Nothing),
+    the_platform_slow(Fault::PlatformSlow, true, SessionTransfer::Token),
+    replicas_far_behind(Fault::ReplicasBehind, true, SessionTransfer::Nothing),
 }
 
 /// A graceful stop cuts no request: no outcome is unknown, and the process
 /// ends well.
 #[test]
 fn a_graceful_stop_cuts_no_request() {
-    let (log, mut bench) = run(Fault::StopProxy, false, Carry::Token);
+    let (log, mut bench) = run(Fault::StopProxy, false, SessionTransfer::Token);
     let unknown = log
         .failures
         .keys()
@@ -124,7 +132,7 @@
     assert_eq!(unknown.count(), 0, "{:?}", log.failures);
     let proxies = &mut bench.proxies;
     wait_until("the stopped proxy ends", TIMEOUT, || {
-        let ended = proxies.iter_mut().filter_map(|p| p.process()?.ended());
+        let ended = proxies.iter_mut().filter_map(|p| p.process()?.exit_code());
         ended.collect::<Vec<_>>() == [0]
     });
 }
@@ -137,7 +145,7 @@
     let settings = BenchSettings::builder().proxies(4).build();
     let bench = Bench::start(settings);
     create_table(&bench);
-    let holders = bench.holders(0);
+    let holders = bench.slot_holders(0);
     let forwarder = (0..4).find(|i| !holders.contains(i)).unwrap();
     let zone = bench.proxies[forwarder].zone.clone();
     let near = |i: &&usize| bench.proxies[**i].zone == zone;
@@ -176,7 +184,7 @@
     let ended = writes.into_iter().map(|write| write.join().unwrap());
     let failed: Vec<String> = ended.filter_map(Result::err).collect();
     assert_eq!(failed, Vec::<String>::new());
-    let stored = stored(&bench, bench.primary(0).unwrap());
+    let stored = stored_keys(&bench, bench.primary(0).unwrap());
     assert_eq!(stored.len(), 2 * SESSIONS);
 }
 
@@ -186,12 +194,12 @@
 fn a_leaving_vm_hands_its_slots_over() {
     let settings = BenchSettings::builder().proxies(5).build();
     let mut bench = Bench::start(settings);
-    let victim = bench.holders(0)[0];
+    let victim = bench.slot_holders(0)[0];
     bench.proxies[victim].leaving = true;
-    bench.list_vms();
+    bench.publish_vms();
     let mut holders = Vec::new();
     wait_until("its slot is handed over", LEAVING_MAX, || {
-        holders = bench.holders(0);
+        holders = bench.slot_holders(0);
         holders.len() == 3 && !holders.contains(&victim)
     });
 }
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -330,7 +330,7 @@
         std::fs::write(&path, text).unwrap();
         let args = ["config", "apply", "--base", base.to_str().unwrap()];
         let args = [&args[..], &["--overlay", path.to_str().unwrap()]].concat();
-        bench.tool(&args).unwrap();
+        bench.run_cli(&args).unwrap();
         let member = &bench.endpoints[0][leaving];
         let statements = || member.counts().unwrap().statements;
         let mut clients: Vec<Client> = bench
--- a/tests/tool.rs
+++ b/tests/tool.rs
@@ -9,7 +9,7 @@
 
 fn run(bench: &Bench, args: &[&str]) -> String {
     bench
-        .tool(args)
+        .run_cli(args)
         .unwrap_or_else(|error| panic!("{args:?}: {error:?}"))
 }
 
@@ -30,18 +30,18 @@
     assert!(done.contains("leads in term"), "{done}");
     assert_ne!(bench.primary(0), None);
     let (status, error) = bench
-        .tool(&["failover", "run", "service-0", "nobody"])
+        .run_cli(&["failover", "run", "service-0", "nobody"])
         .unwrap_err();
     assert_eq!(status, 8);
     assert!(error.contains("FK701"), "{error}");
-    let (status, error) = bench.tool(&["service", "show", "nowhere"]).unwrap_err();
+    let (status, error) = bench.run_cli(&["service", "show", "nowhere"]).unwrap_err();
     assert_eq!(status, 3);
     assert!(error.contains("FK201"), "{error}");
-    let victim = bench.holders(0)[0];
+    let victim = bench.slot_holders(0)[0];
     run(&bench, &["vm", "drain", &format!("vm-{victim}")]);
     let proxy = &mut bench.proxies[victim];
     wait_until("the VM ends", FAILOVER_MAX, || {
-        proxy.process().and_then(|p| p.ended()) == Some(0)
+        proxy.process().and_then(|p| p.exit_code()) == Some(0)
     });
 }
 
@@ -53,7 +53,7 @@
     let shown = run(&bench, &["session", "show", "service-0", "new"]);
     assert!(shown.contains("position 0/0"), "{shown}");
     let (_, error) = bench
-        .tool(&["session", "show", "service-0", "fk1.a.b"])
+        .run_cli(&["session", "show", "service-0", "fk1.a.b"])
         .unwrap_err();
     assert!(error.contains("FK202"), "{error}");
     assert!(run(&bench, &["man"]).contains("foxtailknot"));
