--- a/src/http.rs
+++ b/src/http.rs
@@ -4,7 +4,7 @@
 
 /// An answer, read whole.
 #[derive(Clone, Debug)]
-pub struct HttpAnswer {
+pub struct HttpResponse {
     /// HTTP status.
     pub status: u16,
     /// Body.
@@ -31,12 +31,12 @@
 /// # Errors
 ///
 /// Returns an error when no whole answer came in time.
-pub async fn send(request: cyper::RequestBuilder, limit: Duration) -> Result<HttpAnswer> {
+pub async fn send(request: cyper::RequestBuilder, limit: Duration) -> Result<HttpResponse> {
     let call = async {
         let response = request.send().await?;
         let status = response.status().as_u16();
         let body = response.bytes().await?;
-        Ok(HttpAnswer { status, body })
+        Ok(HttpResponse { status, body })
     };
     let answer = compio::time::timeout(limit, call).await;
     answer.unwrap_or(Err(HttpError::Timeout))
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -6,7 +6,7 @@
 
 use super::{ListedVm, Result, Row, StoreError, Written};
 use crate::{
-    http::{self, HttpAnswer},
+    http::{self, HttpResponse},
     prelude::*,
 };
 
@@ -157,13 +157,13 @@
         })
     }
 
-    async fn get(&self, path: &str) -> Result<HttpAnswer> {
+    async fn get(&self, path: &str) -> Result<HttpResponse> {
         let url = format!("{}/{path}", self.base);
         let request = self.http.get(url).map_err(StoreError::unavailable)?;
         self.send(request).await
     }
 
-    async fn put(&self, path: &str, body: Vec<u8>) -> Result<HttpAnswer> {
+    async fn put(&self, path: &str, body: Vec<u8>) -> Result<HttpResponse> {
         let url = format!("{}/{path}", self.base);
         let request = self.http.put(url).map_err(StoreError::unavailable)?;
         let request = request
@@ -172,7 +172,7 @@
         self.send(request.body(body)).await
     }
 
-    async fn send(&self, request: cyper::RequestBuilder) -> Result<HttpAnswer> {
+    async fn send(&self, request: cyper::RequestBuilder) -> Result<HttpResponse> {
         let answer = http::send(request, CALL_TIMEOUT).await;
         let answer = answer.map_err(StoreError::unavailable)?;
         match answer.status {
@@ -182,7 +182,7 @@
     }
 }
 
-fn json<T: DeserializeOwned>(answer: &HttpAnswer) -> Result<T> {
+fn json<T: DeserializeOwned>(answer: &HttpResponse) -> Result<T> {
     serde_json::from_slice(&answer.body).map_err(bad_answer)
 }
 
