--- a/src/logging.rs
+++ b/src/logging.rs
@@ -1,4 +1,4 @@
-//! Logs as JSON lines on standard output, which never block who writes them.
+//! Logging as JSON lines on standard output. Logging never blocks the calling thread.
 
 use std::{
     io::Write,
@@ -14,33 +14,34 @@
 
 use crate::prelude::*;
 
-/// Lines that wait for standard output; more are left out. A few seconds of
-/// the most that the decisions write.
-const LINES_MAX: usize = 4_096;
-/// Longest wait for the last lines at the end of the process.
-const FLUSH_WAIT: Duration = Duration::from_millis(200);
-/// Pause between two looks whether they are written.
-const FLUSH_POLL: Duration = Duration::from_millis(2);
+/// Capacity of the queue to standard output; lines beyond it are dropped. Holds a
+/// few seconds of decision lines at their highest rate.
+const QUEUE_CAPACITY: usize = 4_096;
+/// Longest wait for queued lines when the process ends.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
+/// Interval at which `flush` checks the queue.
+const FLUSH_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-static LINES: OnceLock<flume::Sender<String>> = OnceLock::new();
-static LEFT_OUT: AtomicU64 = AtomicU64::new(0);
+static QUEUE: OnceLock<flume::Sender<String>> = OnceLock::new();
+static DROPPED: AtomicU64 = AtomicU64::new(0);
 
 /// Starts logging to standard output.
 ///
 /// # Errors
 ///
-/// Returns an error when a logger was started before.
+/// Returns an error when a logger is already installed.
 pub fn start(
     vm: &Name,
     level: LevelFilter,
     targets: &BTreeMap<String, LevelFilter>,
 ) -> std::result::Result<(), log::SetLoggerError> {
-    let (lines, written) = flume::bounded(LINES_MAX);
-    // A second logger is refused below.
-    let _ = LINES.set(lines.clone());
-    std::thread::spawn(move || write_lines(&written, &mut std::io::stdout()));
+    let (sender, receiver) = flume::bounded(QUEUE_CAPACITY);
+    // If the queue is already set, `apply` below fails as well.
+    let _ = QUEUE.set(sender.clone());
+    std::thread::spawn(move || write_lines(&receiver, &mut std::io::stdout()));
     let vm = vm.clone();
-    // The calls between VMs would drown the decisions.
+    // At lower levels tarpc logs each call between VMs, which would crowd out the
+    // decisions.
     let mut dispatch = fern::Dispatch::new()
         .level(level)
         .level_for("tarpc", level.min(LevelFilter::Warn));
@@ -49,48 +50,53 @@
     }
     dispatch
         .format(move |out, message, record| {
-            out.finish(format_args!("{}", line(&vm, &message.to_string(), record)));
+            out.finish(format_args!(
+                "{}",
+                format_line(&vm, &message.to_string(), record)
+            ));
         })
         .chain(fern::Output::call(move |record| {
-            queue(&lines, format!("{}\n", record.args()));
+            enqueue(&sender, format!("{}\n", record.args()));
         }))
         .apply()
 }
 
-/// Hands a line over, or counts it as left out when too many wait.
-pub fn queue(lines: &flume::Sender<String>, line: String) {
-    if lines.try_send(line).is_err() {
-        LEFT_OUT.fetch_add(1, Ordering::Relaxed);
+/// Queues a line for output, or counts it as dropped when the queue is full.
+pub fn enqueue(queue: &flume::Sender<String>, line: String) {
+    if queue.try_send(line).is_err() {
+        DROPPED.fetch_add(1, Ordering::Relaxed);
     }
 }
 
-/// Writes lines until their senders are gone; says how many were left out.
-pub fn write_lines(lines: &flume::Receiver<String>, output: &mut impl Write) {
-    while let Ok(first) = lines.recv() {
+/// Writes queued lines until all senders are dropped, and reports how many lines
+/// were dropped.
+pub fn write_lines(queue: &flume::Receiver<String>, output: &mut impl Write) {
+    while let Ok(first) = queue.recv() {
         let mut text = first;
-        text.extend(lines.drain());
-        let left_out = LEFT_OUT.swap(0, Ordering::Relaxed);
-        if left_out > 0 {
-            let line = json!({"event": "log lines left out", "level": "WARN", "lines": left_out});
+        text.extend(queue.drain());
+        let dropped = DROPPED.swap(0, Ordering::Relaxed);
+        if dropped > 0 {
+            let line = json!({"event": "log lines left out", "level": "WARN", "lines": dropped});
             text.push_str(&format!("{line}\n"));
         }
-        // Without a reader there is nobody to tell.
+        // Once standard output is closed there is nowhere to report the error.
         if output.write_all(text.as_bytes()).is_err() || output.flush().is_err() {
             return;
         }
     }
 }
 
-/// Waits a moment for the lines written so far, before the process ends.
+/// Waits briefly until the queued lines are taken for output. Call it before the
+/// process ends.
 pub fn flush() {
-    let deadline = Instant::now() + FLUSH_WAIT;
-    let Some(lines) = LINES.get() else { return };
-    while !lines.is_empty() && Instant::now() < deadline {
-        std::thread::sleep(FLUSH_POLL);
+    let deadline = Instant::now() + FLUSH_TIMEOUT;
+    let Some(queue) = QUEUE.get() else { return };
+    while !queue.is_empty() && Instant::now() < deadline {
+        std::thread::sleep(FLUSH_POLL_INTERVAL);
     }
 }
 
-fn line(vm: &str, message: &str, record: &Record<'_>) -> Value {
+fn format_line(vm: &str, message: &str, record: &Record<'_>) -> Value {
     let mut fields = Map::new();
     let time = humantime::format_rfc3339_micros(SystemTime::now());
     fields.insert("time".into(), json!(time.to_string()));
@@ -98,15 +104,15 @@
     fields.insert("target".into(), json!(record.target()));
     fields.insert("vm".into(), json!(vm));
     fields.insert("event".into(), json!(message));
-    let mut collect = Collect(&mut fields);
+    let mut visitor = FieldVisitor(&mut fields);
     // The visitor never fails.
-    let _ = record.key_values().visit(&mut collect);
+    let _ = record.key_values().visit(&mut visitor);
     Value::Object(fields)
 }
 
-struct Collect<'a>(&'a mut Map<String, Value>);
+struct FieldVisitor<'a>(&'a mut Map<String, Value>);
 
-impl<'kvs> log::kv::VisitSource<'kvs> for Collect<'_> {
+impl<'kvs> log::kv::VisitSource<'kvs> for FieldVisitor<'_> {
     fn visit_pair(
         &mut self,
         key: log::kv::Key<'kvs>,
--- a/tests/logging.rs
+++ b/tests/logging.rs
@@ -1,37 +1,37 @@
-//! Log lines never block who writes them.
+//! Logging doesn't block the calling thread when standard output stalls.
 
 use std::{
     io::Write,
     sync::{Arc, Condvar, Mutex},
 };
 
-use foxtailknot::logging::{queue, write_lines};
+use foxtailknot::logging::{enqueue, write_lines};
 
-/// A reader that takes nothing until it is told to.
+/// An output that blocks every write until it is resumed.
 #[derive(Clone, Default)]
-struct Stalled {
-    taken: Arc<Mutex<Taken>>,
-    changed: Arc<Condvar>,
+struct StalledOutput {
+    state: Arc<Mutex<OutputState>>,
+    resumed: Arc<Condvar>,
 }
 
 #[derive(Default)]
-struct Taken {
-    may_go_on: bool,
-    bytes: Vec<u8>,
+struct OutputState {
+    is_resumed: bool,
+    written: Vec<u8>,
 }
 
-impl Stalled {
-    fn go_on(&self) {
-        self.taken.lock().unwrap().may_go_on = true;
-        self.changed.notify_all();
+impl StalledOutput {
+    fn resume(&self) {
+        self.state.lock().unwrap().is_resumed = true;
+        self.resumed.notify_all();
     }
 }
 
-impl Write for Stalled {
+impl Write for StalledOutput {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
-        let taken = self.taken.lock().unwrap();
-        let mut taken = self.changed.wait_while(taken, |t| !t.may_go_on).unwrap();
-        taken.bytes.extend_from_slice(bytes);
+        let state = self.state.lock().unwrap();
+        let mut state = self.resumed.wait_while(state, |s| !s.is_resumed).unwrap();
+        state.written.extend_from_slice(bytes);
         Ok(bytes.len())
     }
 
@@ -41,19 +41,19 @@
 }
 
 #[test]
-fn stalled_reader_costs_lines_but_no_time() {
-    let (lines, written) = flume::bounded(8);
-    let output = Stalled::default();
+fn stalled_output_drops_lines_without_blocking() {
+    let (sender, receiver) = flume::bounded(8);
+    let output = StalledOutput::default();
     let mut writer_output = output.clone();
-    let writer = std::thread::spawn(move || write_lines(&written, &mut writer_output));
+    let writer = std::thread::spawn(move || write_lines(&receiver, &mut writer_output));
     for number in 0..1_000 {
-        queue(&lines, format!("{number}\n"));
+        enqueue(&sender, format!("{number}\n"));
     }
-    output.go_on();
-    drop(lines);
+    output.resume();
+    drop(sender);
     writer.join().unwrap();
-    let taken = output.taken.lock().unwrap();
-    let text = String::from_utf8_lossy(&taken.bytes);
+    let state = output.state.lock().unwrap();
+    let text = String::from_utf8_lossy(&state.written);
     let kept = text.lines().filter(|l| !l.contains("left out")).count();
     assert!(text.starts_with("0\n"), "{text}");
     assert!((1..1_000).contains(&kept));
