--- a/src/signals.rs
+++ b/src/signals.rs
@@ -1,4 +1,4 @@
-//! Signals that the process watches for as long as it runs.
+//! Signal handling that stays installed for the life of the process.
 
 use std::io;
 
@@ -13,25 +13,25 @@
 
 /// Watches one signal.
 ///
-/// A listener of the runtime hears one signal and then restores the default
-/// action, which ends the process. Two listeners, replaced in turn, leave no
-/// moment without one.
+/// A listener of the runtime completes on its first signal and then restores the
+/// default action, which ends the process. With two listeners that are replaced in
+/// turn, a handler is installed at every moment.
 pub struct SignalWatch {
     number: i32,
     listeners: [Listener; 2],
-    /// Set when a signal came while a listener was replaced.
-    is_heard: bool,
+    /// Set when a signal arrived while a listener was being replaced.
+    is_pending: bool,
 }
 
 type Listener = LocalBoxFuture<'static, io::Result<()>>;
 
 impl SignalWatch {
-    /// Starts to watch a signal.
+    /// Starts watching a signal.
     pub fn new(number: i32) -> SignalWatch {
         SignalWatch {
             number,
-            listeners: [create(number), create(number)],
-            is_heard: false,
+            listeners: [create_listener(number), create_listener(number)],
+            is_pending: false,
         }
         .armed()
     }
@@ -43,39 +43,39 @@
         self
     }
 
-    /// Waits for the signal. Several that come at once may count as one.
+    /// Waits for the signal. Signals that arrive close together may be reported as one.
     ///
     /// # Errors
     ///
     /// Returns an error when the signal can't be watched.
     pub async fn next(&mut self) -> io::Result<()> {
-        if std::mem::take(&mut self.is_heard) {
+        if std::mem::take(&mut self.is_pending) {
             return Ok(());
         }
         for index in 0..self.listeners.len() {
-            let heard = (&mut self.listeners[index]).await;
-            self.listeners[index] = create(self.number);
+            let result = (&mut self.listeners[index]).await;
+            self.listeners[index] = create_listener(self.number);
             self.arm(index);
-            heard?;
+            result?;
         }
         Ok(())
     }
 
-    /// Polls a listener, which installs its handler. One that has heard a
-    /// signal by then is replaced; the other listener stands meanwhile.
+    /// Polls a listener, which installs its handler. A listener that has already
+    /// received a signal is replaced while the other one stays installed.
     fn arm(&mut self, index: usize) {
-        while let Some(heard) = (&mut self.listeners[index]).now_or_never() {
-            if heard.is_err() {
-                // Shows when it is awaited.
-                self.listeners[index] = std::future::ready(heard).boxed_local();
+        while let Some(result) = (&mut self.listeners[index]).now_or_never() {
+            if result.is_err() {
+                // `next` returns the error when it awaits this listener.
+                self.listeners[index] = std::future::ready(result).boxed_local();
                 return;
             }
-            self.is_heard = true;
-            self.listeners[index] = create(self.number);
+            self.is_pending = true;
+            self.listeners[index] = create_listener(self.number);
         }
     }
 }
 
-fn create(number: i32) -> Listener {
+fn create_listener(number: i32) -> Listener {
     compio::signal::unix::signal(number).boxed_local()
 }
--- a/tests/signals.rs
+++ b/tests/signals.rs
@@ -1,5 +1,5 @@
-//! Signals are heard for as long as the process runs: a listener that is
-//! replaced too late lets the default action end the process.
+//! Signals are received for as long as the process runs. If a listener is replaced
+//! too late, the default action of the next signal ends the process.
 
 use std::{
     sync::{
@@ -12,35 +12,35 @@
 use foxtailknot::signals::{HANGUP, SignalWatch};
 use rustix::process::{Signal, getpid, kill_process};
 
-/// Signals sent, close together.
-const SIGNALS: usize = 2_000;
+/// Number of signals sent in quick succession.
+const SIGNAL_COUNT: usize = 2_000;
 
 #[test]
-fn hears_signals_in_quick_succession() {
+fn receives_signals_in_quick_succession() {
     let runtime = compio::runtime::Runtime::new().unwrap();
     let is_done = Arc::new(AtomicBool::new(false));
     let mut watch = runtime.enter(|| SignalWatch::new(HANGUP));
-    let seen = is_done.clone();
+    let sender_done = is_done.clone();
     let sender = std::thread::spawn(move || {
-        for _ in 0..SIGNALS {
+        for _ in 0..SIGNAL_COUNT {
             kill_process(getpid(), Signal::HUP).unwrap();
             std::thread::yield_now();
         }
-        seen.store(true, Ordering::SeqCst);
+        sender_done.store(true, Ordering::SeqCst);
     });
-    let heard = runtime.block_on(async {
-        let mut heard = 0;
-        while !is_done.load(Ordering::SeqCst) || heard == 0 {
+    let received = runtime.block_on(async {
+        let mut received = 0;
+        while !is_done.load(Ordering::SeqCst) || received == 0 {
             let next = compio::time::timeout(Duration::from_millis(200), watch.next());
             if let Ok(result) = next.await {
                 result.unwrap();
-                heard += 1;
+                received += 1;
             }
         }
-        heard
+        received
     });
     sender.join().unwrap();
-    // A signal may still be on its way to this thread.
+    // A signal may still be pending, so its handler must stay installed.
     std::mem::forget(watch);
-    assert!(heard > 0);
+    assert!(received > 0);
 }
