--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics, read as Prometheus text on the admin listener.
+//! Metrics, exported in Prometheus' text format on the admin listener.
 
 use opentelemetry::{
     KeyValue,
@@ -9,7 +9,7 @@
 
 use crate::prelude::*;
 
-/// Error of the metrics exporter.
+/// The metrics exporter could not be set up.
 #[derive(Debug, derive_more::Display, derive_more::Error)]
 #[display("metrics: {text}")]
 pub struct MetricsError {
@@ -19,38 +19,39 @@
 /// Result of this module.
 pub type Result<T> = std::result::Result<T, MetricsError>;
 
-/// The instruments of a daemon.
+/// The daemon's metric instruments.
 #[derive(Clone)]
 pub struct Metrics {
     registry: Registry,
     _provider: SdkMeterProvider,
-    /// Callers connected now.
+    /// Callers that are connected.
     pub callers: UpDownCounter<i64>,
     /// Requests by class.
     pub requests: Counter<u64>,
-    /// Reads by the kind of member that served them and why.
+    /// Reads by the kind of member that served them and the reason for that choice.
     pub reads: Counter<u64>,
-    /// Requests refused, by code.
+    /// Refused requests by code.
     pub refusals: Counter<u64>,
-    /// Commits by how they ended.
+    /// Commits by outcome.
     pub commits: Counter<u64>,
     /// Retries by outcome.
     pub retries: Counter<u64>,
-    /// Time a request waited for a connection, in milliseconds.
+    /// Time that a request waited for a connection, in milliseconds.
     pub queue_wait_ms: Histogram<f64>,
-    /// Time a commit waited for its confirmation, in milliseconds.
+    /// Time that a commit waited for confirmation, in milliseconds.
     pub acknowledge_wait_ms: Histogram<f64>,
     /// Promotions by outcome.
     pub promotions: Counter<u64>,
-    /// Statements of the relay by kind and outcome.
+    /// Statements handled by the relay, by kind and outcome.
     pub statements: Counter<u64>,
-    /// Time from a statement to its answer, in milliseconds, by kind.
+    /// Time from a statement's arrival to its answer by kind, in milliseconds.
     pub statement_ms: Histogram<f64>,
-    /// Statements that another VM sent through this one, by outcome.
+    /// Statements that another VM forwarded through this one, by outcome.
     pub forwarded: Counter<u64>,
-    /// Age of the floor that a read was granted with, in milliseconds.
+    /// Age of the floor, the minimum position that a read must see, when the read was
+    /// granted, in milliseconds.
     pub floor_age_ms: Histogram<f64>,
-    /// Bytes of calls between VMs, by direction.
+    /// Bytes transferred in calls between VMs, by direction.
     pub peer_bytes: Counter<u64>,
 }
 
@@ -71,7 +72,7 @@
             })?;
         let provider = SdkMeterProvider::builder().with_reader(exporter).build();
         let meter = provider.meter("foxtailknot");
-        let counter = |name: &'static str| count(&meter, name);
+        let counter = |name: &'static str| create_counter(&meter, name);
         Ok(Metrics {
             registry,
             callers: meter.i64_up_down_counter("foxtailknot_callers").build(),
@@ -94,25 +95,25 @@
         })
     }
 
-    /// All metrics as Prometheus text.
+    /// Returns all metrics in Prometheus' text format.
     pub fn text(&self) -> String {
         let mut text = Vec::new();
-        // Writing to memory does not fail.
+        // Writing to a `Vec` does not fail.
         let _ = TextEncoder::new().encode(&self.registry.gather(), &mut text);
         String::from_utf8_lossy(&text).into_owned()
     }
 }
 
-fn count(meter: &Meter, name: &'static str) -> Counter<u64> {
+fn create_counter(meter: &Meter, name: &'static str) -> Counter<u64> {
     meter.u64_counter(name).build()
 }
 
-/// A label of a metric.
+/// Creates a metric label with a fixed value.
 pub fn label(key: &'static str, value: impl Into<&'static str>) -> KeyValue {
     KeyValue::new(key, value.into())
 }
 
-/// A label whose value is a name from the configuration.
+/// Creates a metric label whose value is a configured name.
 pub fn name_label(key: &'static str, value: &Name) -> KeyValue {
     KeyValue::new(key, value.clone())
 }
