--- a/src/bin/foxtailknot.rs
+++ b/src/bin/foxtailknot.rs
@@ -1,4 +1,4 @@
-//! The command-line tool.
+//! The command-line tool for operators.
 
 use std::process::ExitCode;
 
--- a/src/bin/foxtailknotd.rs
+++ b/src/bin/foxtailknotd.rs
@@ -1,4 +1,4 @@
-//! The daemon.
+//! The proxy daemon, one on each VM.
 
 use std::process::ExitCode;
 
--- a/src/code.rs
+++ b/src/code.rs
@@ -1,16 +1,16 @@
-//! Numbered result codes. The table for operators is `docs/ERRORS.md`.
+//! Numbered result codes. `docs/ERRORS.md` describes them for operators.
 
 use strum::{Display, EnumIter, IntoStaticStr};
 
-/// Whether a request was run when its code is returned.
+/// What a code says about whether the request was run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display)]
 #[strum(serialize_all = "snake_case")]
 pub enum Outcome {
-    /// It was not run.
+    /// The request was not run.
     NotRun,
-    /// It may have been run.
+    /// The request may have been run.
     Unknown,
-    /// The code is not about a request.
+    /// The code does not concern a request.
     None,
 }
 
@@ -22,69 +22,71 @@
     SettingsUnreadable = 101,
     /// A setting has a value that is not allowed.
     SettingsInvalid = 102,
-    /// An address can't be listened on.
+    /// A listener can't be bound to its address.
     ListenFailed = 103,
     /// The service is not configured.
     UnknownService = 201,
-    /// The session token is bad.
+    /// The session token is malformed, fails its checksum or belongs to another service.
     BadToken = 202,
-    /// The request is too large.
+    /// The request exceeds the size limit.
     RequestTooLarge = 203,
-    /// The statement needs session state that is not carried between connections.
+    /// The statement needs session state, which is not kept across connections.
     SessionState = 204,
-    /// COPY is not carried.
+    /// COPY is not supported.
     CopyRefused = 205,
-    /// No primary took the request before its deadline.
+    /// No primary accepted the request before its deadline.
     NoPrimary = 206,
-    /// No connection became free before the deadline.
+    /// No connection to a member became free before the deadline.
     QueueTimeout = 207,
-    /// The queue can't serve the request before its deadline.
+    /// The queue is too long to serve the request before its deadline.
     Overloaded = 208,
-    /// The VM is stopping.
+    /// The VM is shutting down.
     Stopping = 209,
-    /// A parameter of foxtailknot has a bad value.
+    /// A foxtailknot parameter has an invalid value.
     BadParameter = 210,
-    /// No VM that holds a slot of the service can be reached.
+    /// No slot holder of the service can be reached.
     NoSlot = 211,
-    /// A prepared statement is not known.
+    /// The prepared statement does not exist.
     UnknownStatement = 212,
-    /// The replica refused the statement as a write, and the position forbids a rerun.
+    /// The replica refused the statement as a write, and it can't be run again on
+    /// the primary at this point of the session.
     ReadOnly = 213,
-    /// The primary failed before the commit was safe; its successor lacks it.
+    /// The primary failed before the commit was confirmed, and its successor does not
+    /// have it.
     TransactionDiscarded = 214,
-    /// The connection broke after the request was sent.
+    /// The connection was lost after the request had been sent.
     OutcomeUnknown = 301,
-    /// The commit was not confirmed in its term.
+    /// The commit was not confirmed within the term in which it was made.
     CommitUnconfirmed = 302,
-    /// The member stopped answering in the middle of an answer.
+    /// The member's answer broke off before its end.
     AnswerCut = 303,
-    /// The message does not follow the protocol.
+    /// The message violates the protocol.
     ProtocolViolation = 401,
     /// The startup parameters are not accepted.
     StartupRefused = 402,
-    /// The configuration was changed by somebody else.
+    /// The configuration was changed concurrently.
     ConfigurationConflict = 501,
-    /// Not every VM reported the version in time.
+    /// Not every VM reported the new version in time.
     ConfigurationPending = 502,
-    /// No such version is kept.
+    /// The requested version is not stored.
     ConfigurationUnknown = 503,
-    /// The platform does not answer.
+    /// The platform does not respond.
     PlatformUnavailable = 601,
-    /// It is not known whether the platform made the change.
+    /// The platform may or may not have made the change.
     PlatformUnknown = 602,
-    /// A VM does not answer.
+    /// Another VM does not respond.
     PeerUnavailable = 603,
-    /// The promotion did not go ahead.
+    /// The promotion was refused or not completed.
     PromotionRefused = 701,
 }
 
 impl Code {
-    /// The number, stable between versions.
+    /// The number, which is stable across releases.
     pub fn number(self) -> u16 {
         self as u16
     }
 
-    /// SQLSTATE that callers see.
+    /// The SQLSTATE that callers see.
     pub fn sqlstate(self) -> &'static str {
         match self {
             Code::UnknownService => "3D000",
@@ -113,7 +115,7 @@
         }
     }
 
-    /// Exit status of the command-line tool.
+    /// Exit status of the command-line tool, one for each hundred of numbers.
     pub fn exit_status(self) -> u8 {
         (self.number() / 100) as u8 + 1
     }
--- a/src/decision_log.rs
+++ b/src/decision_log.rs
@@ -1,25 +1,25 @@
-//! Log lines of decisions: limited in rate, and counted when left out.
+//! Log lines of decisions, rate-limited per kind; suppressed lines are counted.
 
 use std::cell::RefCell;
 
 use crate::{clock, prelude::*};
 
-/// Lines of one kind in a second.
+/// Most lines of one kind that are written per second.
 const LINES_PER_S: u64 = 50;
 
 #[derive(Default)]
 struct Window {
     second: u64,
     lines: u64,
-    left_out: u64,
+    suppressed: u64,
 }
 
 thread_local! {
     static WINDOWS: RefCell<BTreeMap<&'static str, Window>> = const { RefCell::new(BTreeMap::new()) };
 }
 
-/// Whether a line of this kind may be written now, and how many of its kind
-/// were left out since the last one.
+/// Returns `None` when the limit for this kind is reached, otherwise the number
+/// of lines of this kind suppressed since the last one was written.
 pub fn permit(kind: &'static str) -> Option<u64> {
     let second = clock::now_ms() / 1_000;
     WINDOWS.with_borrow_mut(|windows| {
@@ -29,19 +29,19 @@
             window.lines = 0;
         }
         if window.lines >= LINES_PER_S {
-            window.left_out += 1;
+            window.suppressed += 1;
             return None;
         }
         window.lines += 1;
-        Some(std::mem::take(&mut window.left_out))
+        Some(std::mem::take(&mut window.suppressed))
     })
 }
 
-/// Writes a line for a decision unless too many of its kind were written.
+/// Logs a decision unless the rate limit for its kind is reached.
 macro_rules! decision {
     ($kind:literal, $($field:tt)*) => {
-        if let Some(left_out) = $crate::decision_log::permit($kind) {
-            log::info!(target: $kind, left_out = left_out, $($field)*);
+        if let Some(suppressed) = $crate::decision_log::permit($kind) {
+            log::info!(target: $kind, left_out = suppressed, $($field)*);
         }
     };
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,13 @@
 //! foxtailknot: a database proxy with session consistency.
 //!
-//! `decide` holds pure decisions, `proxy` the path of a statement in
-//! PostgreSQL's protocol, `relay` the same path without a protocol of its own,
-//! `control` the work that VMs do together, `store` the client of the
-//! platform's services, and `settings` what operators write.
+//! - `decide`: decision logic as pure functions, without I/O.
+//! - `proxy`: statement processing in PostgreSQL's protocol.
+//! - `relay`: statement processing for any protocol, given a pair of codecs.
+//! - `control`: coordination between VMs: membership, placement, failover and
+//!   configuration.
+//! - `store`: client of the platform's table service, object store and VM list.
+//! - `settings`: the settings files that operators write.
+//! - `cmd`: the daemon and the command-line tool.
 
 pub mod clock;
 pub mod cmd;
--- a/src/lsn.rs
+++ b/src/lsn.rs
@@ -1,17 +1,17 @@
-//! Log positions.
+//! Log sequence numbers.
 
 use std::{fmt, str::FromStr};
 
 use serde::{Deserialize, Serialize};
 
-/// A position in a database's log, written as PostgreSQL writes it: `X/Y` in
-/// hexadecimal.
+/// A log sequence number (LSN): a position in a database's log, written in
+/// PostgreSQL's format `X/Y` with both halves in hexadecimal.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Lsn(pub u64);
 
-/// Error of a log position that can't be read.
+/// A text that is not a valid LSN.
 #[derive(Clone, Debug, PartialEq, Eq, derive_more::Display, derive_more::Error)]
 #[display("bad log position {text:?}")]
 pub struct LsnError {
--- a/src/position.rs
+++ b/src/position.rs
@@ -11,9 +11,9 @@
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Position {
-    /// Term of the primary that wrote it.
+    /// Term of the primary that wrote up to this position.
     pub term: u64,
-    /// Position in the log.
+    /// Position in that primary's log.
     pub lsn: Lsn,
 }
 
--- a/src/prelude.rs
+++ b/src/prelude.rs
@@ -8,5 +8,5 @@
 
 pub use crate::{code::Code, lsn::Lsn, position::Position};
 
-/// A name that is shared and never changes.
+/// An immutable name that is cheap to clone.
 pub type Name = Arc<str>;
--- a/src/token.rs
+++ b/src/token.rs
@@ -1,4 +1,4 @@
-//! Session tokens: a caller's position, carried between proxies by the caller.
+//! Session tokens. A caller passes its position from one proxy to the next in a token.
 
 use std::hash::Hasher;
 
@@ -8,19 +8,19 @@
 
 /// Version prefix of the token format.
 const PREFIX: &str = "fk1";
-/// Token of a session that has written nothing yet.
+/// Token of a session that has not written anything yet.
 pub const NEW_SESSION: &str = "new";
 
-/// Reason to refuse a token.
+/// Reason why a token is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display, derive_more::Error)]
 pub enum TokenError {
-    /// The text has another format.
+    /// The text is not in the token format.
     #[display("the session token has a bad format")]
     Format,
-    /// The checksum differs.
+    /// The checksum does not match.
     #[display("the session token has a bad checksum")]
     Checksum,
-    /// It belongs to another service.
+    /// The token was issued for another service.
     #[display("the session token belongs to another service")]
     Service,
 }
@@ -28,14 +28,14 @@
 /// Result of this module.
 pub type Result<T> = std::result::Result<T, TokenError>;
 
-/// Writes the token of a position.
+/// Encodes a position of `service` as a token.
 pub fn encode(service: &str, position: Position) -> String {
     let check = checksum(service, position);
     let Position { term, lsn } = position;
     format!("{PREFIX}.{service}.{term}.{:x}.{check:016x}", lsn.0)
 }
 
-/// Reads a token that a caller presents for `service`.
+/// Decodes a token that a caller presents for `service`.
 ///
 /// # Errors
 ///
@@ -49,7 +49,7 @@
     let lsn = parts.next().ok_or(TokenError::Format)?;
     let term = parts.next().ok_or(TokenError::Format)?;
     let head = parts.next().ok_or(TokenError::Format)?;
-    let (prefix, named) = head.split_once('.').ok_or(TokenError::Format)?;
+    let (prefix, token_service) = head.split_once('.').ok_or(TokenError::Format)?;
     if prefix != PREFIX {
         return Err(TokenError::Format);
     }
@@ -57,10 +57,10 @@
     let lsn = u64::from_str_radix(lsn, 16).map_err(|_| TokenError::Format)?;
     let term = term.parse().map_err(|_| TokenError::Format)?;
     let position = Position::new(term, Lsn(lsn));
-    if check != checksum(named, position) {
+    if check != checksum(token_service, position) {
         return Err(TokenError::Checksum);
     }
-    if named != service {
+    if token_service != service {
         return Err(TokenError::Service);
     }
     Ok(position)
