--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! What the tests share.
+//! Helpers shared by the integration tests.
 
-/// Names each case of a check: `check: name(arguments), ...`.
+/// Defines one test for each case of a check function: `check: name(arguments), ...`.
 #[macro_export]
 macro_rules! named_cases {
     ($check:ident: $($name:ident($($argument:expr),* $(,)?)),* $(,)?) => {
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,5 +1,5 @@
-//! Settings: examples load, overlays win key by key, bad ones are refused with
-//! their place; codes and their table agree.
+//! The example settings load, overlays override single keys, invalid settings are
+//! refused with the line or key at fault, and the table of codes matches the code.
 
 use std::path::{Path, PathBuf};
 
@@ -10,7 +10,7 @@
 use strum::IntoEnumIterator;
 use yare::parameterized;
 
-fn file(folder: &Path, name: &str, text: &str) -> PathBuf {
+fn write_file(folder: &Path, name: &str, text: &str) -> PathBuf {
     let path = folder.join(name);
     std::fs::write(&path, text).unwrap();
     path
@@ -27,7 +27,7 @@
     assert_eq!(settings.services.len(), 3);
     let service = &settings.services[service];
     assert_eq!((service.connections, service.slots), (connections, 3));
-    // Without the overlay the addresses are missing.
+    // The base file has no addresses.
     let error = read_site(&base, &[]).unwrap_err();
     assert!(error.to_string().contains("address: is missing"), "{error}");
 }
@@ -53,8 +53,8 @@
 )]
 fn bad_settings_of_a_vm(text: &str, expected: &str) {
     let folder = tempfile::tempdir().unwrap();
-    let base = file(folder.path(), "base.yaml", &format!("{HEAD}{LISTEN}"));
-    let overlay = file(
+    let base = write_file(folder.path(), "base.yaml", &format!("{HEAD}{LISTEN}"));
+    let overlay = write_file(
         folder.path(),
         "overlay.yaml",
         &format!("#\n#\n#\n#\n{text}"),
@@ -66,17 +66,16 @@
 }
 
 #[test]
-fn nobody_may_enter_before_the_operator_chooses() {
+fn callers_are_refused_by_default() {
     let folder = tempfile::tempdir().unwrap();
-    let base = file(folder.path(), "base.yaml", &format!("{HEAD}{LISTEN}"));
+    let base = write_file(folder.path(), "base.yaml", &format!("{HEAD}{LISTEN}"));
     let settings = read_vm(&base, &[]).unwrap();
     assert_eq!(settings.authentication, Authentication::Refuse);
 }
 
-/// Every code stands in the table with its SQLSTATE and outcome, and nothing
-/// else does.
+/// The table lists every code with its SQLSTATE and outcome, and no others.
 #[test]
-fn codes_and_table_agree() {
+fn error_table_matches_codes() {
     let table = std::fs::read_to_string("docs/ERRORS.md").unwrap();
     let rows: Vec<&str> = table
         .lines()
--- a/tests/tool.rs
+++ b/tests/tool.rs
@@ -1,10 +1,10 @@
-//! The command-line tool against a running site.
+//! Runs the command-line tool against a running site.
 
 use std::time::Duration;
 
 use standin::bench::{Bench, BenchSettings, wait_until};
 
-/// The stated bound of a change of primary.
+/// Specified upper bound of a failover.
 const FAILOVER_MAX: Duration = Duration::from_secs(8);
 
 fn run(bench: &Bench, args: &[&str]) -> String {
@@ -14,13 +14,13 @@
 }
 
 #[test]
-fn subcommands_show_and_order() {
+fn subcommands_query_and_control_a_site() {
     let mut bench = Bench::start(BenchSettings::builder().proxies(4).build());
     let status = run(&bench, &["status"]);
     assert_eq!(status.lines().count(), 5, "{status}");
     assert!(run(&bench, &["service", "list"]).contains("majority"));
     assert_eq!(run(&bench, &["slots"]).lines().count(), 4);
-    wait_until("every slot has seen the members", FAILOVER_MAX, || {
+    wait_until("every slot knows its members", FAILOVER_MAX, || {
         let shown = run(&bench, &["service", "show", "service-0"]);
         shown.matches("replica").count() == 2 && shown.contains("primary")
     });
@@ -37,16 +37,16 @@
     let (status, error) = bench.tool(&["service", "show", "nowhere"]).unwrap_err();
     assert_eq!(status, 3);
     assert!(error.contains("FK201"), "{error}");
-    let victim = bench.holders(0)[0];
-    run(&bench, &["vm", "drain", &format!("vm-{victim}")]);
-    let proxy = &mut bench.proxies[victim];
-    wait_until("the VM ends", FAILOVER_MAX, || {
+    let drained = bench.holders(0)[0];
+    run(&bench, &["vm", "drain", &format!("vm-{drained}")]);
+    let proxy = &mut bench.proxies[drained];
+    wait_until("the drained VM exits", FAILOVER_MAX, || {
         proxy.process().and_then(|p| p.ended()) == Some(0)
     });
 }
 
 #[test]
-fn what_needs_no_site() {
+fn subcommands_that_need_one_vm() {
     let bench = Bench::start(BenchSettings::builder().proxies(1).build());
     assert!(run(&bench, &["explain", "SELECT 1"]).contains("class read"));
     assert!(run(&bench, &["explain", "DELETE FROM t"]).contains("class write"));
