--- a/standin/src/bin/endpoint-standin.rs
+++ b/standin/src/bin/endpoint-standin.rs
@@ -1,4 +1,4 @@
-//! One member of a database group as a process.
+//! Runs the stand-in for one member of a database group.
 
 use standin::endpoint::{Member, endpoint_settings, serve};
 
--- a/standin/src/bin/platform-standin.rs
+++ b/standin/src/bin/platform-standin.rs
@@ -1,4 +1,4 @@
-//! The platform stand-in as a process.
+//! Runs the stand-in for the platform.
 
 use std::net::SocketAddr;
 
--- a/standin/src/endpoint/call.rs
+++ b/standin/src/endpoint/engine.rs
@@ -1,10 +1,10 @@
-//! Running statements on the embedded engine.
+//! Runs statements on the embedded SQLite database.
 
 use rusqlite::{Connection, types::ValueRef};
 
 use super::Statement;
 
-/// Rows of an answer in text form.
+/// Result rows in text format.
 #[derive(Debug, Default)]
 pub struct Rows {
     /// Column names with a flag for integer columns.
@@ -17,7 +17,7 @@
 ///
 /// # Errors
 ///
-/// Returns the engine's error.
+/// Returns SQLite's error.
 pub fn execute(db: &Connection, statement: &Statement) -> rusqlite::Result<usize> {
     let mut prepared = db.prepare_cached(&statement.sql)?;
     bind(&mut prepared, &statement.params)?;
@@ -28,7 +28,7 @@
 ///
 /// # Errors
 ///
-/// Returns the engine's error.
+/// Returns SQLite's error.
 pub fn query(db: &Connection, statement: &Statement) -> rusqlite::Result<Rows> {
     let mut prepared = db.prepare_cached(&statement.sql)?;
     let columns = columns(&prepared);
@@ -46,7 +46,7 @@
     Ok(answer)
 }
 
-/// Columns of a prepared statement; the flag marks integers.
+/// Columns of a prepared statement, with a flag for integer columns.
 pub fn columns(prepared: &rusqlite::Statement<'_>) -> Vec<(String, bool)> {
     let is_integer = |decl: Option<&str>| decl.is_some_and(|t| t.to_uppercase().contains("INT"));
     let columns = prepared.columns();
--- a/standin/src/endpoint/operator.rs
+++ b/standin/src/endpoint/functions.rs
@@ -1,15 +1,15 @@
-//! Group operations and position functions, called through SQL.
+//! SQL functions for group operations, log positions and injected faults.
 
 use std::sync::{Arc, atomic::Ordering};
 
 use super::{
     Member,
-    call::Rows,
+    engine::Rows,
     member::{LogAnswer, MemberStatus},
     session::{Answer, SqlError},
 };
 
-/// Longest sleep that a statement may ask for, in seconds.
+/// Longest `pg_sleep`, in seconds.
 const SLEEP_MAX_S: f64 = 60.0;
 
 const STATUS_COLUMNS: [&str; 6] = [
@@ -21,7 +21,7 @@
     "primary_seen_ms",
 ];
 
-/// Columns of a group operation, or `None` for any other statement.
+/// Columns of a call of such a function, or `None` for any other statement.
 pub fn columns(sql: &str) -> Option<Vec<(String, bool)>> {
     let (name, _) = parse(sql)?;
     let text = |name: &str| (name.to_owned(), false);
@@ -33,15 +33,15 @@
     }
 }
 
-/// Runs a group operation, or returns `None` for any other statement.
+/// Runs a call of such a function, or returns `None` for any other statement.
 pub async fn run(member: &Arc<Member>, sql: &str) -> Option<Result<Answer, SqlError>> {
     let (name, args) = parse(sql)?;
-    let is_operator = matches!(name.as_str(), "dbgroup_cut" | "dbgroup_silence");
-    while !is_operator && member.silent.load(Ordering::Relaxed) {
+    let is_fault_control = matches!(name.as_str(), "dbgroup_cut" | "dbgroup_silence");
+    while !is_fault_control && member.is_unresponsive.load(Ordering::Relaxed) {
         tokio::time::sleep(std::time::Duration::from_millis(20)).await;
     }
     let is_peer = matches!(name.as_str(), "dbgroup_log" | "dbgroup_follow");
-    if is_peer && member.state().cut {
+    if is_peer && member.state().is_partitioned {
         return Some(Err(SqlError::new("08006", "cut off")));
     }
     Some(answer(member, &name, &args).await)
@@ -55,17 +55,17 @@
     };
     let status = member.status();
     Ok(match name {
-        "pg_current_wal_lsn" => one(name, lsn(status.received)),
-        "pg_last_wal_receive_lsn" => one(name, lsn(status.received)),
-        "pg_last_wal_replay_lsn" => one(name, lsn(status.replayed)),
+        "pg_current_wal_lsn" => single_value(name, lsn(status.received)),
+        "pg_last_wal_receive_lsn" => single_value(name, lsn(status.received)),
+        "pg_last_wal_replay_lsn" => single_value(name, lsn(status.replayed)),
         "dbgroup_term_at" => {
             let text = args.first().map(String::as_str).unwrap_or_default();
             let lsn: foxtailknot::lsn::Lsn = text
                 .parse()
                 .map_err(|_| SqlError::new("22023", "bad position"))?;
-            one(name, member.state().term_at(lsn.0 as usize).to_string())
+            single_value(name, member.state().term_at(lsn.0 as usize).to_string())
         }
-        "pg_is_in_recovery" => one(
+        "pg_is_in_recovery" => single_value(
             name,
             if status.primary_seen_ms > 0 { "t" } else { "f" }.into(),
         ),
@@ -74,7 +74,7 @@
             let seconds: f64 = text.parse().unwrap_or(0.0);
             let seconds = seconds.clamp(0.0, SLEEP_MAX_S);
             tokio::time::sleep(std::time::Duration::from_secs_f64(seconds)).await;
-            one(name, String::new())
+            single_value(name, String::new())
         }
         "dbgroup_status" => status_rows(&status),
         "dbgroup_raise_term" => status_rows(&member.raise_term(number(0)?)),
@@ -82,7 +82,7 @@
         "dbgroup_follow" => {
             let addr = args.get(1).and_then(|a| a.parse().ok());
             let addr = addr.ok_or_else(|| SqlError::new("22023", "bad address"))?;
-            one(name, member.follow(number(0)?, addr).term.to_string())
+            single_value(name, member.follow(number(0)?, addr).term.to_string())
         }
         "dbgroup_log" => {
             let position = number(1)? as usize;
@@ -92,35 +92,38 @@
             match found {
                 LogAnswer::Entries(entries) => {
                     let text = serde_json::to_string(&entries).unwrap_or_default();
-                    one(name, text)
+                    single_value(name, text)
                 }
-                LogAnswer::Mismatch => one(name, "mismatch".into()),
+                LogAnswer::Mismatch => single_value(name, "mismatch".into()),
                 LogAnswer::NotPrimary => return Err(SqlError::new("55000", "not the primary")),
             }
         }
         "dbgroup_cut" => {
-            member.cut(number(0)? != 0);
-            one(name, "ok".into())
+            member.set_partitioned(number(0)? != 0);
+            single_value(name, "ok".into())
         }
         "dbgroup_silence" => {
-            member.silent.store(number(0)? != 0, Ordering::Relaxed);
-            one(name, "ok".into())
+            member
+                .is_unresponsive
+                .store(number(0)? != 0, Ordering::Relaxed);
+            single_value(name, "ok".into())
         }
         "dbgroup_lag" => {
             member.set_lag(number(0)?, number(1)?);
-            one(name, "ok".into())
+            single_value(name, "ok".into())
         }
         "dbgroup_connections" => {
             let open = member.open_connections.load(Ordering::Relaxed);
             let peak = member.peak_connections.load(Ordering::Relaxed);
             let statements = member.statements.load(Ordering::Relaxed);
-            one(name, format!("{open},{peak},{statements}"))
+            single_value(name, format!("{open},{peak},{statements}"))
         }
         _ => return Err(SqlError::new("42883", format!("no function {name}"))),
     })
 }
 
-/// Splits `SELECT name(args)`; other statements give `None`.
+/// Parses `SELECT name(args)` with a name of these functions; `None` for other
+/// statements.
 fn parse(sql: &str) -> Option<(String, Vec<String>)> {
     let sql = sql.trim().trim_end_matches(';').trim();
     let rest = sql
@@ -139,7 +142,7 @@
     Some((name, args.filter(|a| !a.is_empty()).collect()))
 }
 
-fn one(name: &str, value: String) -> Answer {
+fn single_value(name: &str, value: String) -> Answer {
     Answer::Rows(Rows {
         columns: vec![(name.to_owned(), false)],
         rows: vec![vec![Some(value)]],
--- a/standin/src/endpoint/member.rs
+++ b/standin/src/endpoint/member.rs
@@ -1,4 +1,4 @@
-//! A member and the group operations that others ask of it.
+//! A member of the group and the operations that peers and proxies call on it.
 
 use std::{
     net::SocketAddr,
@@ -11,21 +11,21 @@
 
 use tokio::sync::{Notify, watch};
 
-use super::{EndpointSettings, Entry, Role, state::State};
+use super::{EndpointSettings, LogEntry, Role, state::State};
 
-/// Longest time a follower's question waits for new entries.
+/// Longest time that a replica's request waits for new entries.
 const LOG_WAIT: Duration = Duration::from_millis(200);
-/// Most entries in one answer to a follower.
+/// Most entries sent to a replica in one response.
 const LOG_BATCH: usize = 500;
 
-/// What a member says of itself.
+/// State that a member reports.
 #[derive(Clone, Debug)]
 pub struct MemberStatus {
     /// Role in the group.
     pub role: Role,
-    /// Highest term promised to.
+    /// Highest term that this member has accepted.
     pub term: u64,
-    /// Term whose log this one is a prefix of.
+    /// Term whose primary this log is synchronized with.
     pub synced_term: u64,
     /// Entries received.
     pub received: usize,
@@ -35,33 +35,35 @@
     pub primary_seen_ms: u64,
 }
 
-/// Answer to a follower that asks for entries.
+/// Response to a replica that requests log entries.
 #[derive(Debug)]
 pub enum LogAnswer {
-    /// Entries that follow; possibly none yet.
-    Entries(Vec<Entry>),
-    /// The follower's last entry differs from this log.
+    /// Entries after the requested position; empty when there are none yet.
+    Entries(Vec<LogEntry>),
+    /// The replica's last entry differs from the one at that position.
     Mismatch,
-    /// This member does not lead in the asked term.
+    /// This member is not the primary of the requested term.
     NotPrimary,
 }
 
 /// One member of a database group.
 pub struct Member {
-    /// Command line settings.
+    /// Command-line settings.
     pub settings: EndpointSettings,
-    /// Write transactions take turns.
-    pub writer: Arc<tokio::sync::Mutex<()>>,
-    /// Raised whenever open connections must be dropped.
-    pub epoch: watch::Sender<u64>,
-    /// Connections of foxtailknot that are open now.
+    /// Held by the open write transaction; there is at most one.
+    pub write_lock: Arc<tokio::sync::Mutex<()>>,
+    /// Incremented to close all open connections.
+    pub connection_generation: watch::Sender<u64>,
+    /// Open connections from foxtailknot.
     pub open_connections: AtomicUsize,
-    /// Most connections of foxtailknot open at once so far.
+    /// Highest number of open connections from foxtailknot so far.
     pub peak_connections: AtomicUsize,
-    /// Statements on data that foxtailknot's connections ran.
+    /// Statements, other than transaction control, run on connections from
+    /// foxtailknot.
     pub statements: AtomicUsize,
-    /// Set while the member answers nobody but its operator.
-    pub silent: AtomicBool,
+    /// Whether the member leaves all requests unanswered, except the calls that
+    /// inject faults.
+    pub is_unresponsive: AtomicBool,
     state: Mutex<State>,
     committed: Notify,
 }
@@ -79,12 +81,12 @@
         }
         Arc::new(Member {
             settings,
-            writer: Arc::default(),
-            epoch: watch::Sender::new(0),
+            write_lock: Arc::default(),
+            connection_generation: watch::Sender::new(0),
             open_connections: AtomicUsize::new(0),
             peak_connections: AtomicUsize::new(0),
             statements: AtomicUsize::new(0),
-            silent: AtomicBool::new(false),
+            is_unresponsive: AtomicBool::new(false),
             state: Mutex::new(state),
             committed: Notify::new(),
         })
@@ -99,7 +101,7 @@
         self.state.lock().expect("no thread panics under this lock")
     }
 
-    /// What this member says of itself.
+    /// Current state as reported to others.
     pub fn status(&self) -> MemberStatus {
         let state = self.state();
         MemberStatus {
@@ -116,9 +118,9 @@
     }
 
     /// Appends a committed transaction and returns its position.
-    pub fn commit(&self, state: &mut State, entry: Entry) -> usize {
+    pub fn commit(&self, state: &mut State, entry: LogEntry) -> usize {
         for statement in &entry.statements {
-            let _ = super::call::execute(&state.committed, statement);
+            let _ = super::engine::execute(&state.committed, statement);
         }
         state.log.push((entry, Instant::now()));
         state.replayed = state.log.len();
@@ -126,10 +128,10 @@
         state.log.len()
     }
 
-    /// Promises to confirm nothing for a lower term.
+    /// Accepts a higher term and stops following the primary of a lower one.
     ///
-    /// A member that has never followed a primary holds no data and refuses,
-    /// so it never counts towards a majority.
+    /// A member that was never synchronized with a primary holds no data and
+    /// refuses, so that it never counts towards a majority.
     pub fn raise_term(&self, term: u64) -> MemberStatus {
         let mut state = self.state();
         if state.synced_term > 0 && term > state.term {
@@ -144,7 +146,7 @@
         self.status()
     }
 
-    /// Becomes the primary of a term that was raised before.
+    /// Becomes the primary of a term that `raise_term` has set.
     pub fn promote(&self, term: u64) -> MemberStatus {
         let mut state = self.state();
         if state.term == term && state.role == Role::Replica && state.synced_term > 0 {
@@ -161,7 +163,7 @@
     /// Follows the primary of `term`; a lower term is refused.
     pub fn follow(&self, term: u64, primary: SocketAddr) -> MemberStatus {
         let mut state = self.state();
-        if state.cut {
+        if state.is_partitioned {
             drop(state);
             return self.status();
         }
@@ -178,12 +180,12 @@
         self.status()
     }
 
-    /// Cuts this member off from its peers, or ends that.
-    pub fn cut(&self, cut: bool) {
-        self.state().cut = cut;
+    /// Starts or ends a network partition between this member and its peers.
+    pub fn set_partitioned(&self, is_partitioned: bool) {
+        self.state().is_partitioned = is_partitioned;
     }
 
-    /// Sets the delays of this member, in milliseconds.
+    /// Sets the replication delays of this member, in milliseconds.
     pub fn set_lag(&self, ship_lag_ms: u64, replay_lag_ms: u64) {
         let mut state = self.state();
         state.ship_lag_ms = ship_lag_ms;
@@ -192,12 +194,12 @@
 
     /// Closes every connection, as a restart of the server would.
     pub fn drop_connections(&self) {
-        self.epoch.send_modify(|epoch| *epoch += 1);
+        self.connection_generation
+            .send_modify(|generation| *generation += 1);
     }
 
-    /// Entries after `position` that are at least `lag_ms` old, once there are any.
-    ///
-    /// Waits up to 200 ms for them.
+    /// Entries after `position` that are at least `lag_ms` old; waits up to
+    /// 200 ms for the first one.
     pub async fn log_after(
         &self,
         term: u64,
@@ -210,7 +212,8 @@
             let changed = self.committed.notified();
             let next_due = {
                 let state = self.state();
-                let leads = state.role == Role::Primary && state.term == term && !state.cut;
+                let leads =
+                    state.role == Role::Primary && state.term == term && !state.is_partitioned;
                 let matches =
                     position <= state.log.len() && state.term_at(position) == position_term;
                 if !leads {
@@ -220,7 +223,7 @@
                     return LogAnswer::Mismatch;
                 }
                 let lag = Duration::from_millis(lag_ms);
-                let due: Vec<Entry> = state.log[position..]
+                let due: Vec<LogEntry> = state.log[position..]
                     .iter()
                     .take(LOG_BATCH)
                     .take_while(|(_, at)| at.elapsed() >= lag)
--- a/standin/src/endpoint/mod.rs
+++ b/standin/src/endpoint/mod.rs
@@ -1,18 +1,19 @@
-//! One member of a replicated database group: PostgreSQL protocol, an
-//! embedded SQL engine, and a statement log that is shipped asynchronously.
+//! Stand-in for one member of a replicated database group: it speaks the
+//! PostgreSQL protocol, runs SQL on embedded SQLite and replicates a log of
+//! statements asynchronously.
 
-mod call;
-mod entry;
-mod follow;
+mod engine;
+mod functions;
+mod log_entry;
 mod member;
-mod operator;
+mod replication;
 mod role;
 mod server;
 mod session;
 mod settings;
 mod state;
 
-pub use entry::{Entry, Statement};
+pub use log_entry::{LogEntry, Statement};
 pub use member::Member;
 pub use role::Role;
 pub use server::serve;
--- a/standin/src/endpoint/follow.rs
+++ b/standin/src/endpoint/replication.rs
@@ -1,48 +1,49 @@
-//! Replication: a replica pulls the log; a primary announces itself.
+//! Replication: a replica pulls the primary's log, and a primary announces
+//! itself to its peers.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration, time::Instant};
 
 use futures::future::join_all;
 use tokio_postgres::{Client, NoTls, SimpleQueryMessage, SimpleQueryRow};
 
-use super::{Entry, Member, Role};
+use super::{LogEntry, Member, Role};
 
-const RETRY: Duration = Duration::from_millis(50);
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(100);
 const PEER_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Pulls the primary's log while this member is a replica.
-pub async fn pull(member: Arc<Member>) {
+pub async fn pull_log(member: Arc<Member>) {
     loop {
         let source = {
             let state = member.state();
-            let follows = state.role == Role::Replica && !state.cut;
+            let follows = state.role == Role::Replica && !state.is_partitioned;
             state.primary.filter(|_| follows).map(|p| (p, state.term))
         };
         if let Some((primary, term)) = source
             && let Some(client) = connect(primary).await
         {
-            pull_from(&member, &client, primary, term).await;
+            pull_log_from(&member, &client, primary, term).await;
         }
-        tokio::time::sleep(RETRY).await;
+        tokio::time::sleep(RETRY_INTERVAL).await;
     }
 }
 
-async fn pull_from(member: &Member, client: &Client, primary: SocketAddr, term: u64) {
+async fn pull_log_from(member: &Member, client: &Client, primary: SocketAddr, term: u64) {
     let mut position = member.state().log.len();
     if member.state().synced_term != term {
-        // A log that only begins like the primary's is not in step: it may lack
-        // what earlier primaries had confirmed. It is once it holds all that
-        // this primary held when the pull began.
-        let Some(end) = primary_end(client).await else {
+        // A log that is only a prefix of the primary's may lack entries that
+        // earlier primaries acknowledged. It counts as synchronized once it
+        // holds all that this primary held when the pull began.
+        let Some(end) = primary_log_end(client).await else {
             return;
         };
-        member.state().step_at = end;
+        member.state().sync_position = end;
     }
     loop {
         let (position_term, lag_ms) = {
             let state = member.state();
-            if state.cut || state.term != term || state.primary != Some(primary) {
+            if state.is_partitioned || state.term != term || state.primary != Some(primary) {
                 return;
             }
             (state.term_at(position), state.ship_lag_ms)
@@ -63,32 +64,32 @@
             position -= 1;
             continue;
         }
-        let Ok(entries) = serde_json::from_str::<Vec<Entry>>(&text) else {
+        let Ok(entries) = serde_json::from_str::<Vec<LogEntry>>(&text) else {
             return;
         };
-        if !receive(member, primary, term, position, entries) {
+        if !append_received(member, primary, term, position, entries) {
             return;
         }
         position = member.state().log.len();
     }
 }
 
-async fn primary_end(client: &Client) -> Option<usize> {
+async fn primary_log_end(client: &Client) -> Option<usize> {
     let asked = client.simple_query("SELECT pg_current_wal_lsn()");
     let answer = tokio::time::timeout(PEER_TIMEOUT, asked).await.ok()?.ok()?;
     let lsn: foxtailknot::lsn::Lsn = first_value(&answer)?.parse().ok()?;
     usize::try_from(lsn.0).ok()
 }
 
-fn receive(
+fn append_received(
     member: &Member,
     primary: SocketAddr,
     term: u64,
     position: usize,
-    entries: Vec<Entry>,
+    entries: Vec<LogEntry>,
 ) -> bool {
     let mut state = member.state();
-    if state.cut || state.term != term || state.primary != Some(primary) {
+    if state.is_partitioned || state.term != term || state.primary != Some(primary) {
         return false;
     }
     if state.log.len() > position {
@@ -97,13 +98,13 @@
     }
     let now = Instant::now();
     state.log.extend(entries.into_iter().map(|e| (e, now)));
-    if state.log.len() >= state.step_at {
+    if state.log.len() >= state.sync_position {
         state.synced_term = term;
     }
     true
 }
 
-/// Replays received entries once they are old enough.
+/// Applies received entries on a replica once its replay delay has passed.
 pub async fn replay(member: Arc<Member>) {
     loop {
         {
@@ -122,23 +123,23 @@
     }
 }
 
-/// Tells the peers of a primary whom to follow, until they do.
-pub async fn announce(member: Arc<Member>) {
+/// Tells the peers to follow this member, repeatedly while it is the primary.
+pub async fn announce_primary(member: Arc<Member>) {
     loop {
         let term = {
             let state = member.state();
-            (state.role == Role::Primary && !state.cut).then_some(state.term)
+            (state.role == Role::Primary && !state.is_partitioned).then_some(state.term)
         };
         if let Some(term) = term {
-            // One peer that does not answer must not keep the others waiting.
+            // Concurrent, so that a peer that does not answer delays no other.
             let peers = member.settings.peer.iter();
-            join_all(peers.map(|peer| announce_to(&member, *peer, term))).await;
+            join_all(peers.map(|peer| announce_primary_to(&member, *peer, term))).await;
         }
         tokio::time::sleep(ANNOUNCE_INTERVAL).await;
     }
 }
 
-async fn announce_to(member: &Member, peer: SocketAddr, term: u64) {
+async fn announce_primary_to(member: &Member, peer: SocketAddr, term: u64) {
     let own = member.settings.listen;
     let sql = format!("SELECT dbgroup_follow({term},'{own}')");
     let ask = async {
@@ -150,7 +151,7 @@
         return;
     };
     let mut state = member.state();
-    if peer_term > state.term && !state.cut && state.role == Role::Primary {
+    if peer_term > state.term && !state.is_partitioned && state.role == Role::Primary {
         state.term = peer_term;
         state.role = Role::Replica;
         member.drop_connections();
@@ -164,7 +165,8 @@
     config.user("dbgroup");
     config.application_name("dbgroup");
     config.connect_timeout(PEER_TIMEOUT);
-    // The driver's own limit covers only the first part of a connection.
+    // The driver's connect timeout covers only the TCP connection, not the
+    // startup messages.
     let connecting = tokio::time::timeout(PEER_TIMEOUT, config.connect(NoTls));
     let (client, connection) = connecting.await.ok()?.ok()?;
     tokio::spawn(connection);
--- a/standin/src/endpoint/server.rs
+++ b/standin/src/endpoint/server.rs
@@ -1,4 +1,4 @@
-//! The PostgreSQL side of the stand-in.
+//! PostgreSQL protocol server of the stand-in.
 
 use std::{
     fmt::Debug,
@@ -26,12 +26,12 @@
 use tokio::net::{TcpListener, TcpStream};
 
 use super::{
-    Member, Statement, follow,
+    Member, Statement, replication,
     session::{Answer, Session, SqlError},
 };
-use crate::endpoint::call::Rows;
+use crate::endpoint::engine::Rows;
 
-const CLIENT_NAME: &str = "foxtailknot";
+const PROXY_APPLICATION_NAME: &str = "foxtailknot";
 
 /// Serves a member until the process ends.
 ///
@@ -40,9 +40,9 @@
 /// Returns an error when the address can't be bound.
 pub async fn serve(member: Arc<Member>) -> std::io::Result<()> {
     let listener = TcpListener::bind(member.settings.listen).await?;
-    tokio::spawn(follow::pull(member.clone()));
-    tokio::spawn(follow::replay(member.clone()));
-    tokio::spawn(follow::announce(member.clone()));
+    tokio::spawn(replication::pull_log(member.clone()));
+    tokio::spawn(replication::replay(member.clone()));
+    tokio::spawn(replication::announce_primary(member.clone()));
     loop {
         let (stream, _) = listener.accept().await?;
         stream.set_nodelay(true)?;
@@ -52,7 +52,7 @@
 
 async fn serve_connection(member: Arc<Member>, stream: TcpStream) {
     tokio::time::sleep(Duration::from_millis(member.settings.connect_ms)).await;
-    let mut epoch = member.epoch.subscribe();
+    let mut generation = member.connection_generation.subscribe();
     let handler = Arc::new(Handler {
         session: Session::new(member),
         parser: Arc::new(NoopQueryParser::new()),
@@ -60,7 +60,7 @@
     let handlers = Handlers(handler);
     tokio::select! {
         _ = pgwire::tokio::process_socket(stream, None, handlers) => {}
-        _ = epoch.changed() => {}
+        _ = generation.changed() => {}
     }
 }
 
@@ -98,13 +98,13 @@
         PgWireError: From<<C as Sink<PgWireBackendMessage>>::Error>,
     {
         let name = client.metadata().get("application_name");
-        if name.is_some_and(|name| name == CLIENT_NAME) {
+        if name.is_some_and(|name| name == PROXY_APPLICATION_NAME) {
             let member = &self.session.member;
             let limit = member.settings.max_connections;
             if member.open_connections.load(Ordering::Relaxed) >= limit {
                 return Err(SqlError::new("53300", "too many connections").into());
             }
-            self.session.count();
+            self.session.count_proxy_connection();
         }
         Ok(())
     }
@@ -119,7 +119,7 @@
         PgWireError: From<<C as Sink<PgWireBackendMessage>>::Error>,
     {
         let mut responses = Vec::new();
-        for sql in self.session.split(query) {
+        for sql in self.session.split_statements(query) {
             let statement = Statement {
                 sql,
                 params: Vec::new(),
--- a/standin/src/endpoint/session.rs
+++ b/standin/src/endpoint/session.rs
@@ -1,4 +1,4 @@
-//! One connection's transaction state.
+//! Session of one connection, with its transaction state.
 
 use std::{
     sync::{
@@ -11,19 +11,19 @@
 use tokio::sync::{Mutex, OwnedMutexGuard};
 
 use super::{
-    Entry, Member, Role, Statement,
-    call::{self, Rows},
-    operator,
+    LogEntry, Member, Role, Statement,
+    engine::{self, Rows},
+    functions,
 };
 
-const SILENCE_POLL: Duration = Duration::from_millis(20);
+const UNRESPONSIVE_POLL: Duration = Duration::from_millis(20);
 
 /// An error with its SQLSTATE.
 #[derive(Debug)]
 pub struct SqlError {
     /// SQLSTATE.
     pub code: &'static str,
-    /// Text for a person.
+    /// Human-readable message.
     pub message: String,
 }
 
@@ -53,12 +53,12 @@
     }
 }
 
-/// Answer to one statement.
+/// Result of one statement.
 #[derive(Debug)]
 pub enum Answer {
     /// Rows.
     Rows(Rows),
-    /// A command tag and, where it has one, a row count.
+    /// Command tag and, for tags that have one, a row count.
     Done(String, Option<usize>),
     /// A transaction began.
     Begin,
@@ -71,42 +71,42 @@
     is_open: bool,
     has_failed: bool,
     is_read_only: bool,
-    guard: Option<OwnedMutexGuard<()>>,
+    write_guard: Option<OwnedMutexGuard<()>>,
     statements: Vec<Statement>,
 }
 
 /// State of one connection.
 pub struct Session {
-    /// The member it is connected to.
+    /// Member that serves the connection.
     pub member: Arc<Member>,
     transaction: Mutex<Transaction>,
-    epoch: u64,
-    is_counted: AtomicBool,
+    connection_generation: u64,
+    is_proxy_connection: AtomicBool,
 }
 
 impl Session {
-    /// Opens a session.
+    /// Creates the session of a new connection.
     pub fn new(member: Arc<Member>) -> Session {
-        let epoch = *member.epoch.borrow();
+        let generation = *member.connection_generation.borrow();
         Session {
-            epoch,
+            connection_generation: generation,
             member,
             transaction: Mutex::default(),
-            is_counted: AtomicBool::new(false),
+            is_proxy_connection: AtomicBool::new(false),
         }
     }
 
-    /// Counts this connection as one of foxtailknot's.
-    pub fn count(&self) {
-        self.is_counted.store(true, Ordering::Relaxed);
+    /// Counts this connection among those from foxtailknot.
+    pub fn count_proxy_connection(&self) {
+        self.is_proxy_connection.store(true, Ordering::Relaxed);
         let open = self.member.open_connections.fetch_add(1, Ordering::Relaxed) + 1;
         self.member
             .peak_connections
             .fetch_max(open, Ordering::Relaxed);
     }
 
-    /// Splits a simple query into its statements.
-    pub fn split(&self, query: &str) -> Vec<String> {
+    /// Splits a simple query into statements.
+    pub fn split_statements(&self, query: &str) -> Vec<String> {
         if !query.trim_end().trim_end_matches(';').contains(';') {
             return vec![query.trim().trim_end_matches(';').to_owned()];
         }
@@ -119,21 +119,21 @@
     ///
     /// # Errors
     ///
-    /// Returns the engine's error for a statement it can't prepare.
+    /// Returns SQLite's error for a statement that it can't prepare.
     pub fn describe(&self, sql: &str) -> Result<(usize, Vec<(String, bool)>), SqlError> {
-        if let Some(columns) = operator::columns(sql) {
+        if let Some(columns) = functions::columns(sql) {
             return Ok((0, columns));
         }
-        if control_word(sql).is_some() {
+        if control_keyword(sql).is_some() {
             return Ok((0, Vec::new()));
         }
         let state = self.member.state();
         let prepared = state.committed.prepare_cached(sql);
         match prepared {
-            Ok(p) => Ok((p.parameter_count(), call::columns(&p))),
+            Ok(p) => Ok((p.parameter_count(), engine::columns(&p))),
             Err(_) => {
                 let p = state.working.prepare_cached(sql)?;
-                Ok((p.parameter_count(), call::columns(&p)))
+                Ok((p.parameter_count(), engine::columns(&p)))
             }
         }
     }
@@ -144,14 +144,14 @@
     ///
     /// Returns an error with its SQLSTATE.
     pub async fn run(&self, statement: Statement) -> Result<Answer, SqlError> {
-        if let Some(answer) = operator::run(&self.member, &statement.sql).await {
+        if let Some(answer) = functions::run(&self.member, &statement.sql).await {
             return answer;
         }
-        while self.member.silent.load(Ordering::Relaxed) {
-            tokio::time::sleep(SILENCE_POLL).await;
+        while self.member.is_unresponsive.load(Ordering::Relaxed) {
+            tokio::time::sleep(UNRESPONSIVE_POLL).await;
         }
         let mut transaction = self.transaction.lock().await;
-        match control_word(&statement.sql) {
+        match control_keyword(&statement.sql) {
             Some("BEGIN" | "START") => return Ok(self.begin(&mut transaction, &statement.sql)),
             Some("COMMIT" | "END") => return self.commit(&mut transaction),
             Some("ROLLBACK" | "ABORT") => {
@@ -164,33 +164,33 @@
         if transaction.has_failed {
             return Err(SqlError::new("25P02", "current transaction is aborted"));
         }
-        let answer = self.run_data(&mut transaction, statement).await;
+        let answer = self.run_data_statement(&mut transaction, statement).await;
         transaction.has_failed = transaction.is_open && answer.is_err();
         answer
     }
 
-    async fn run_data(
+    async fn run_data_statement(
         &self,
         transaction: &mut Transaction,
         statement: Statement,
     ) -> Result<Answer, SqlError> {
-        if self.is_counted.load(Ordering::Relaxed) {
+        if self.is_proxy_connection.load(Ordering::Relaxed) {
             self.member.statements.fetch_add(1, Ordering::Relaxed);
         }
-        if self.is_read(&statement.sql, transaction.guard.is_some())? {
+        if self.is_read(&statement.sql, transaction.write_guard.is_some())? {
             let state = self.member.state();
-            let db = match transaction.guard {
+            let db = match transaction.write_guard {
                 Some(_) => &state.working,
                 None => &state.committed,
             };
-            return Ok(Answer::Rows(call::query(db, &statement)?));
+            return Ok(Answer::Rows(engine::query(db, &statement)?));
         }
         if transaction.is_read_only {
             return Err(SqlError::new("25006", "the transaction is read-only"));
         }
         self.check_primary()?;
-        if transaction.guard.is_none() {
-            transaction.guard = Some(self.member.writer.clone().lock_owned().await);
+        if transaction.write_guard.is_none() {
+            transaction.write_guard = Some(self.member.write_lock.clone().lock_owned().await);
             self.check_primary()?;
             if transaction.is_open {
                 self.member.state().working.execute_batch("BEGIN")?;
@@ -204,9 +204,9 @@
             let committed = answer.is_ok();
             let statements = std::mem::take(&mut transaction.statements);
             if committed {
-                self.append(statements)?;
+                self.append_to_log(statements)?;
             }
-            transaction.guard = None;
+            transaction.write_guard = None;
         }
         answer
     }
@@ -215,9 +215,9 @@
         let state = self.member.state();
         let upper = statement.sql.trim_start().to_uppercase();
         if upper.contains(" RETURNING ") {
-            return Ok(Answer::Rows(call::query(&state.working, statement)?));
+            return Ok(Answer::Rows(engine::query(&state.working, statement)?));
         }
-        let count = call::execute(&state.working, statement)?;
+        let count = engine::execute(&state.working, statement)?;
         let word = upper
             .split_whitespace()
             .next()
@@ -230,13 +230,16 @@
         })
     }
 
-    fn append(&self, statements: Vec<Statement>) -> Result<(), SqlError> {
+    fn append_to_log(&self, statements: Vec<Statement>) -> Result<(), SqlError> {
         let mut state = self.member.state();
-        if state.role != Role::Primary || *self.member.epoch.borrow() != self.epoch {
+        if state.role != Role::Primary
+            || *self.member.connection_generation.borrow() != self.connection_generation
+        {
             return Err(SqlError::new("57P01", "this member no longer leads"));
         }
         let term = state.term;
-        self.member.commit(&mut state, Entry { term, statements });
+        self.member
+            .commit(&mut state, LogEntry { term, statements });
         Ok(())
     }
 
@@ -251,11 +254,11 @@
             self.roll_back(transaction);
             return Ok(Answer::End("ROLLBACK".into()));
         }
-        let result = match transaction.guard {
+        let result = match transaction.write_guard {
             Some(_) => {
                 let statements = std::mem::take(&mut transaction.statements);
                 let _ = self.member.state().working.execute_batch("COMMIT");
-                self.append(statements)
+                self.append_to_log(statements)
             }
             None => Ok(()),
         };
@@ -265,15 +268,15 @@
 
     fn roll_back(&self, transaction: &mut Transaction) {
         let state = self.member.state();
-        if transaction.guard.is_some() && !state.working.is_autocommit() {
+        if transaction.write_guard.is_some() && !state.working.is_autocommit() {
             let _ = state.working.execute_batch("ROLLBACK");
         }
         *transaction = Transaction::default();
     }
 
-    fn is_read(&self, sql: &str, in_write: bool) -> Result<bool, SqlError> {
+    fn is_read(&self, sql: &str, in_write_transaction: bool) -> Result<bool, SqlError> {
         let state = self.member.state();
-        let db = if in_write {
+        let db = if in_write_transaction {
             &state.working
         } else {
             &state.committed
@@ -297,14 +300,14 @@
         if let Ok(mut transaction) = self.transaction.try_lock() {
             self.roll_back(&mut transaction);
         }
-        if self.is_counted.load(Ordering::Relaxed) {
+        if self.is_proxy_connection.load(Ordering::Relaxed) {
             self.member.open_connections.fetch_sub(1, Ordering::Relaxed);
         }
     }
 }
 
-/// First word of a statement that the embedded engine does not run.
-fn control_word(sql: &str) -> Option<&'static str> {
+/// Keyword of a statement that is handled here and not run on SQLite.
+fn control_keyword(sql: &str) -> Option<&'static str> {
     const WORDS: [&str; 10] = [
         "BEGIN",
         "START",
--- a/standin/src/endpoint/state.rs
+++ b/standin/src/endpoint/state.rs
@@ -1,32 +1,33 @@
-//! State of a member behind one lock.
+//! State of a member, protected by one lock.
 
 use std::{net::SocketAddr, time::Instant};
 
 use rusqlite::Connection;
 
-use super::{Entry, Role, Statement};
+use super::{LogEntry, Role, Statement};
 
 /// State of a member.
 pub struct State {
-    /// Highest term this member has promised to.
+    /// Highest term that this member has accepted.
     pub term: u64,
-    /// Term that this log is in step with: it holds all that the term's primary
-    /// held when it began, and nothing else.
+    /// Term whose primary this log is synchronized with: the log holds all that
+    /// the primary held when this member began to pull from it, and no entry
+    /// that contradicts the primary's log.
     pub synced_term: u64,
     /// Role in the group.
     pub role: Role,
-    /// Address of the primary it follows.
+    /// Address of the primary that this member follows.
     pub primary: Option<SocketAddr>,
-    /// When a replica last heard from its primary.
+    /// When a replica last received an answer from its primary.
     pub primary_seen: Instant,
-    /// Position from which on the log is in step with the primary's term.
-    pub step_at: usize,
+    /// Position that the log must reach to be synchronized with the primary.
+    pub sync_position: usize,
     /// Received entries with the time they arrived or were committed.
-    pub log: Vec<(Entry, Instant)>,
-    /// Entries applied to `committed`.
+    pub log: Vec<(LogEntry, Instant)>,
+    /// Number of entries applied to `committed`.
     pub replayed: usize,
-    /// Set while the member cannot reach its peers, nor they it.
-    pub cut: bool,
+    /// Whether the member can't reach its peers, nor they it.
+    pub is_partitioned: bool,
     /// Delay before an entry reaches this member, in milliseconds.
     pub ship_lag_ms: u64,
     /// Delay between receiving and replaying, in milliseconds.
@@ -42,7 +43,7 @@
     ///
     /// # Panics
     ///
-    /// Panics when the embedded engine can't open a database in memory.
+    /// Panics when SQLite can't open an in-memory database.
     pub fn new() -> State {
         State {
             term: 0,
@@ -50,10 +51,10 @@
             role: Role::Replica,
             primary: None,
             primary_seen: Instant::now(),
-            step_at: 0,
+            sync_position: 0,
             log: Vec::new(),
             replayed: 0,
-            cut: false,
+            is_partitioned: false,
             ship_lag_ms: 0,
             replay_lag_ms: 0,
             committed: open(),
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Applies received entries up to `position`.
+    /// Applies received entries up to and including `position`.
     pub fn replay_to(&mut self, position: usize) {
         while self.replayed < position.min(self.log.len()) {
             let entry = self.log[self.replayed].0.clone();
@@ -79,7 +80,8 @@
         }
     }
 
-    /// Drops entries after `position` and rebuilds the data from the log.
+    /// Removes entries after `position`, and rebuilds the data from the log when
+    /// some of them were applied.
     pub fn truncate(&mut self, position: usize) {
         self.log.truncate(position);
         if self.replayed <= position {
@@ -100,8 +102,8 @@
 
 fn apply(db: &Connection, statements: &[Statement]) {
     for statement in statements {
-        // The primary ran the same statements on the same data, so a
-        // statement that failed there is not in the log.
-        let _ = super::call::execute(db, statement);
+        // The log holds only statements that succeeded on the primary, on the
+        // same data.
+        let _ = super::engine::execute(db, statement);
     }
 }
--- a/standin/src/lib.rs
+++ b/standin/src/lib.rs
@@ -1,7 +1,8 @@
-//! Stand-ins for what foxtailknot meets outside itself, and the load tool.
+//! Stand-ins for the systems that foxtailknot depends on, a test bench that runs
+//! them, a checker of recorded histories, and the load tool.
 //!
-//! The platform and the endpoints are programs of their own; they exist for
-//! tests, the demo and measurements only.
+//! The stand-ins for the platform and the database endpoints are separate
+//! programs, used only by tests, the demo and measurements.
 
 pub mod bench;
 pub mod endpoint;
--- a/standin/src/platform.rs
+++ b/standin/src/platform.rs
@@ -1,5 +1,5 @@
-//! The platform stand-in: table service, object store and VM list over
-//! HTTP and JSON, with faults set by control calls.
+//! Stand-in for the platform: table service, object store and VM list as an
+//! HTTP API with JSON bodies, and control calls that inject faults.
 
 use std::{
     collections::BTreeMap,
@@ -20,17 +20,18 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// Faults of the platform.
+/// Injected faults of the platform.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Faults {
-    /// Every request fails.
+    /// Every request fails, except control calls.
     pub down: bool,
-    /// Delay of every answer, in milliseconds.
+    /// Delay of every response, in milliseconds.
     pub slow_ms: u64,
-    /// Writes whose answers are lost after they took effect.
+    /// Number of next writes that take effect but are answered with an error, as
+    /// if the response were lost.
     pub lose_answers: u64,
-    /// Delay before a change of the VM list shows, in milliseconds.
+    /// Delay before a change of the VM list becomes visible, in milliseconds.
     pub vm_list_lag_ms: u64,
 }
 
@@ -43,11 +44,11 @@
     pub zone: String,
     /// Region.
     pub region: String,
-    /// Address for callers forwarded by other VMs.
+    /// Address for connections that other VMs forward.
     pub internal: SocketAddr,
     /// Address for calls between VMs.
     pub peer: SocketAddr,
-    /// Set while the VM is about to be taken away.
+    /// Whether the VM is about to be removed.
     #[serde(default)]
     pub leaving: bool,
 }
@@ -60,14 +61,14 @@
 }
 
 #[derive(Deserialize)]
-struct Write {
+struct WriteRequest {
     expect_version: u64,
     value: Value,
     change_id: String,
 }
 
 #[derive(Deserialize)]
-struct Prefix {
+struct ListQuery {
     #[serde(default)]
     prefix: String,
 }
@@ -84,13 +85,13 @@
     rows: BTreeMap<String, Row>,
     objects: BTreeMap<String, Bytes>,
     vms: Vec<Vm>,
-    shown_vms: Vec<Vm>,
-    vms_changed: Option<Instant>,
+    visible_vms: Vec<Vm>,
+    vms_changed_at: Option<Instant>,
     faults: Faults,
     counters: Counters,
 }
 
-/// The platform stand-in.
+/// Shared state of the platform stand-in.
 #[derive(Clone, Default)]
 pub struct Platform(Arc<Mutex<Store>>);
 
@@ -112,7 +113,10 @@
         .route("/tables", get(list_rows))
         .route("/objects/{digest}", get(read_object).put(write_object))
         .route("/vms", get(list_vms))
-        .layer(middleware::from_fn_with_state(platform.clone(), inject));
+        .layer(middleware::from_fn_with_state(
+            platform.clone(),
+            apply_faults,
+        ));
     let control = Router::new()
         .route("/control/faults", post(set_faults))
         .route("/control/vms", put(set_vms))
@@ -122,7 +126,7 @@
     axum::serve(listener, app).await
 }
 
-async fn inject(
+async fn apply_faults(
     State(platform): State<Platform>,
     request: axum::extract::Request,
     next: Next,
@@ -153,7 +157,7 @@
 
 async fn list_rows(
     State(platform): State<Platform>,
-    Query(query): Query<Prefix>,
+    Query(query): Query<ListQuery>,
 ) -> Json<BTreeMap<String, Row>> {
     let mut store = platform.store();
     store.counters.reads += 1;
@@ -165,7 +169,7 @@
 async fn write_row(
     State(platform): State<Platform>,
     Path(key): Path<String>,
-    Json(write): Json<Write>,
+    Json(write): Json<WriteRequest>,
 ) -> Response {
     let mut store = platform.store();
     store.counters.writes += 1;
@@ -208,11 +212,11 @@
     let mut store = platform.store();
     store.counters.reads += 1;
     let lag = Duration::from_millis(store.faults.vm_list_lag_ms);
-    if store.vms_changed.is_some_and(|at| at.elapsed() >= lag) {
-        store.shown_vms = store.vms.clone();
-        store.vms_changed = None;
+    if store.vms_changed_at.is_some_and(|at| at.elapsed() >= lag) {
+        store.visible_vms = store.vms.clone();
+        store.vms_changed_at = None;
     }
-    Json(store.shown_vms.clone())
+    Json(store.visible_vms.clone())
 }
 
 async fn set_faults(State(platform): State<Platform>, Json(faults): Json<Faults>) -> StatusCode {
@@ -223,7 +227,7 @@
 async fn set_vms(State(platform): State<Platform>, Json(vms): Json<Vec<Vm>>) -> StatusCode {
     let mut store = platform.store();
     store.vms = vms;
-    store.vms_changed = Some(Instant::now());
+    store.vms_changed_at = Some(Instant::now());
     StatusCode::OK
 }
 
