--- a/standin/src/history/check.rs
+++ b/standin/src/history/check.rs
@@ -1,63 +1,63 @@
-//! The checker: exact, over a whole history.
+//! Checks a complete history against the consistency guarantees.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::{Event, History, WriteOutcome};
 
-/// A broken promise.
+/// A violated guarantee, with the key, session or VM concerned.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Violation {
     /// An acknowledged write is not stored.
     LostWrite(String),
-    /// A write is stored more than once.
+    /// A write is stored more than once, whatever its reported outcome.
     DuplicateWrite(String),
-    /// A write was refused as not run, and is stored.
+    /// A write that was reported as not run is stored.
     RejectedWriteStored(String),
-    /// A session did not see its own acknowledged write.
+    /// A session did not read its own acknowledged write.
     StaleRead(String),
-    /// A transaction was seen in part.
+    /// A session read only part of a transaction.
     FracturedRead(usize),
-    /// A VM went back to an older configuration.
+    /// A VM reported an older configuration version than before.
     ConfigurationReverted(usize),
 }
 
-/// Finds every broken promise in a history.
+/// Finds all violations in a history, sorted and without duplicates.
 pub fn check(history: &History) -> Vec<Violation> {
-    let mut stored: BTreeMap<&str, usize> = BTreeMap::new();
+    let mut stored_counts: BTreeMap<&str, usize> = BTreeMap::new();
     for key in &history.stored {
-        *stored.entry(key).or_default() += 1;
+        *stored_counts.entry(key).or_default() += 1;
     }
-    let mut found = BTreeSet::new();
-    let mut done: BTreeSet<&str> = BTreeSet::new();
+    let mut violations = BTreeSet::new();
+    let mut acknowledged: BTreeSet<&str> = BTreeSet::new();
     let mut versions: BTreeMap<usize, u64> = BTreeMap::new();
     for event in &history.events {
         match event {
             Event::Write { key, outcome, .. } => {
-                let count = stored.get(key.as_str()).copied().unwrap_or(0);
-                found.extend(check_write(key, *outcome, count));
+                let count = stored_counts.get(key.as_str()).copied().unwrap_or(0);
+                violations.extend(check_write(key, *outcome, count));
                 if *outcome == WriteOutcome::Done {
-                    done.insert(key);
+                    acknowledged.insert(key);
                 }
             }
             Event::Read { key, seen, .. } => {
-                if *seen == 0 && done.contains(key.as_str()) {
-                    found.insert(Violation::StaleRead(key.clone()));
+                if *seen == 0 && acknowledged.contains(key.as_str()) {
+                    violations.insert(Violation::StaleRead(key.clone()));
                 }
             }
             Event::Pair { session, rows_seen } => {
                 if *rows_seen == 1 {
-                    found.insert(Violation::FracturedRead(*session));
+                    violations.insert(Violation::FracturedRead(*session));
                 }
             }
             Event::Version { vm, version } => {
-                let before = versions.insert(*vm, *version);
-                if before.is_some_and(|before| before > *version) {
-                    found.insert(Violation::ConfigurationReverted(*vm));
+                let previous = versions.insert(*vm, *version);
+                if previous.is_some_and(|previous| previous > *version) {
+                    violations.insert(Violation::ConfigurationReverted(*vm));
                 }
             }
         }
     }
-    found.into_iter().collect()
+    violations.into_iter().collect()
 }
 
 fn check_write(key: &str, outcome: WriteOutcome, count: usize) -> Option<Violation> {
--- a/standin/src/history/event.rs
+++ b/standin/src/history/event.rs
@@ -1,42 +1,43 @@
-//! Events of a history, in the order in which each session saw them.
+//! Events that make up a history.
 
-/// How a write ended for its caller.
+/// Outcome of a write as reported to its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 pub enum WriteOutcome {
     /// Acknowledged.
     Done,
-    /// Refused with the word that it was not run.
+    /// Refused; reported as not run.
     NotRun,
-    /// The outcome is not known.
+    /// It may or may not have been run.
     Unknown,
 }
 
-/// What a session did.
+/// An action of a session or a report of a VM.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// It wrote an entry of its own.
+    /// A session wrote a row with a key of its own.
     Write {
         /// Session.
         session: usize,
-        /// Key of the entry; no two writes have the same.
+        /// Key of the row, unique among all writes.
         key: String,
-        /// How it ended.
+        /// Outcome.
         outcome: WriteOutcome,
     },
-    /// It counted an entry of its own.
+    /// A session counted the rows with one of its keys.
     Read {
         /// Session.
         session: usize,
-        /// Key of the entry.
+        /// Key of the row.
         key: String,
-        /// Times the entry was seen.
+        /// Number of rows found.
         seen: usize,
     },
-    /// It wrote a pair in one transaction, then saw this many of its rows.
+    /// A session wrote two rows in one transaction and then read them with one
+    /// statement.
     Pair {
         /// Session.
         session: usize,
-        /// Rows of the transaction that one read returned.
+        /// Number of these rows that were found.
         rows_seen: usize,
     },
     /// A VM reported its configuration version.
@@ -48,11 +49,11 @@
     },
 }
 
-/// A history with what the primary holds in the end.
+/// Events of a run and the keys that the primary stores at its end.
 #[derive(Clone, Debug, Default)]
 pub struct History {
-    /// Events; those of one session are in order.
+    /// Events; those of the same session or VM are in order of occurrence.
     pub events: Vec<Event>,
-    /// Keys at the primary in the end, each as often as it is there.
+    /// Key of each row stored on the primary at the end, with duplicates.
     pub stored: Vec<String>,
 }
--- a/standin/src/history/mod.rs
+++ b/standin/src/history/mod.rs
@@ -1,4 +1,5 @@
-//! Histories of what callers did and saw, and an exact checker.
+//! Histories of what callers wrote and read, and a checker of the consistency
+//! guarantees.
 
 mod check;
 mod event;
--- a/tests/checker.rs
+++ b/tests/checker.rs
@@ -1,5 +1,5 @@
-//! The checker of histories finds a planted violation of each kind, and finds
-//! nothing in a history that keeps every promise.
+//! The history checker finds a planted violation of each kind, and none in a
+//! history that keeps every guarantee.
 
 mod common;
 
@@ -25,7 +25,7 @@
     Event::Version { vm: 3, version }
 }
 
-/// Checks a history of `events` after which `stored` is held.
+/// Checks a history of `events` that ends with the rows `stored`.
 fn finds(events: Vec<Event>, stored: &[&str], expected: &[Violation]) {
     let history = History {
         events,
@@ -36,7 +36,7 @@
 
 common::cases! {
     finds:
-    nothing_in_a_good_history(
+    nothing_in_a_consistent_history(
         vec![
             write("a", WriteOutcome::Done),
             read("a", 1),
@@ -55,22 +55,22 @@
         &[],
         &[Violation::LostWrite("a".into())],
     ),
-    a_doubled_write(
+    a_duplicate_write(
         vec![write("a", WriteOutcome::Unknown)],
         &["a", "a"],
         &[Violation::DuplicateWrite("a".into())],
     ),
-    a_write_that_ran_after_all(
+    a_stored_write_reported_as_not_run(
         vec![write("a", WriteOutcome::NotRun)],
         &["a"],
         &[Violation::RejectedWriteStored("a".into())],
     ),
-    an_own_write_not_seen(
+    a_stale_read_of_an_own_write(
         vec![write("a", WriteOutcome::Done), read("a", 0)],
         &["a"],
         &[Violation::StaleRead("a".into())],
     ),
-    a_mixed_transaction(
+    a_partly_read_transaction(
         vec![Event::Pair { session: 7, rows_seen: 1 }],
         &[],
         &[Violation::FracturedRead(7)],
