--- a/standin/src/bench/endpoint.rs
+++ b/standin/src/bench/endpoint.rs
@@ -1,4 +1,4 @@
-//! A member as a process.
+//! Stand-in for a member, run as a process.
 
 use std::{net::SocketAddr, path::Path};
 
@@ -6,35 +6,35 @@
 
 use super::{BenchSettings, Process};
 
-/// What a member says of itself.
+/// State that a member reports.
 #[derive(Clone, Debug)]
-pub struct Status {
-    /// Whether it leads.
+pub struct MemberStatus {
+    /// Whether it is the primary.
     pub is_primary: bool,
-    /// Highest term promised to.
+    /// Highest term that it has accepted.
     pub term: u64,
-    /// Term whose log it follows.
+    /// Term whose primary its log is synchronized with.
     pub synced_term: u64,
-    /// Time since it heard from its primary, in milliseconds.
+    /// Time since it last heard from its primary, in milliseconds.
     pub primary_seen_ms: u64,
 }
 
-/// What a member has counted of foxtailknot.
+/// Connections and statements from foxtailknot, as counted by a member.
 #[derive(Clone, Copy, Debug)]
-pub struct Counts {
-    /// Connections open now.
+pub struct ConnectionCounts {
+    /// Open connections.
     pub open: usize,
-    /// Most connections at once.
+    /// Highest number of open connections so far.
     pub peak: usize,
-    /// Statements on data.
+    /// Statements run, without transaction control.
     pub statements: usize,
 }
 
-/// A member as a process.
+/// A member run as a process.
 pub struct EndpointProcess {
-    /// Address.
+    /// Address that it listens on.
     pub address: SocketAddr,
-    /// Whether it starts as the first primary.
+    /// Whether it starts as the group's first primary.
     pub is_first_primary: bool,
     index: usize,
     peers: Vec<SocketAddr>,
@@ -43,8 +43,8 @@
 }
 
 impl EndpointProcess {
-    /// Plans a member of a group.
-    pub fn plan(settings: &BenchSettings, group: &[SocketAddr], index: usize) -> EndpointProcess {
+    /// Creates a member of a group without starting it.
+    pub fn new(settings: &BenchSettings, group: &[SocketAddr], index: usize) -> EndpointProcess {
         let address = group[index];
         let peers = group.iter().copied().filter(|a| *a != address);
         EndpointProcess {
@@ -74,58 +74,58 @@
         self.process = Some(Process::start(program, &args, log));
     }
 
-    /// Ends the process at once.
+    /// Kills the process.
     pub fn kill(&mut self) {
         self.process = None;
     }
 
-    /// Stops the process without ending it.
+    /// Suspends the process.
     pub fn freeze(&self) {
         self.signal("STOP");
     }
 
-    /// Lets a frozen process go on.
+    /// Resumes a suspended process.
     pub fn thaw(&self) {
         self.signal("CONT");
     }
 
-    /// Cuts the member off from its peers, or ends that.
+    /// Starts or ends a network partition between the member and its peers.
     pub fn set_partitioned(&self, is_partitioned: bool) {
-        self.call(&format!("SELECT dbgroup_cut({})", u8::from(is_partitioned)));
+        self.query_row(&format!("SELECT dbgroup_cut({})", u8::from(is_partitioned)));
     }
 
-    /// Cuts the member off from everybody, or ends that.
+    /// Makes the member unreachable for peers, proxies and callers, or ends that.
     pub fn set_unreachable(&self, is_unreachable: bool) {
         self.set_partitioned(is_unreachable);
-        self.call(&format!(
+        self.query_row(&format!(
             "SELECT dbgroup_silence({})",
             u8::from(is_unreachable)
         ));
     }
 
-    /// Sets the delays of the member, in milliseconds.
+    /// Sets the replication delays of the member, in milliseconds.
     pub fn set_lag(&self, ship_lag_ms: u64, replay_lag_ms: u64) {
-        self.call(&format!(
+        self.query_row(&format!(
             "SELECT dbgroup_lag({ship_lag_ms},{replay_lag_ms})"
         ));
     }
 
-    /// What the member has counted of foxtailknot.
-    pub fn counts(&self) -> Option<Counts> {
-        let text = self.call("SELECT dbgroup_connections()")?.pop()??;
+    /// Connections and statements from foxtailknot; `None` without an answer.
+    pub fn connection_counts(&self) -> Option<ConnectionCounts> {
+        let text = self.query_row("SELECT dbgroup_connections()")?.pop()??;
         let mut numbers = text.split(',').map(|n| n.parse().ok());
-        Some(Counts {
+        Some(ConnectionCounts {
             open: numbers.next()??,
             peak: numbers.next()??,
             statements: numbers.next()??,
         })
     }
 
-    /// What the member says of itself.
-    pub fn status(&self) -> Option<Status> {
-        let values = self.call("SELECT dbgroup_status()")?;
+    /// State that the member reports; `None` without an answer.
+    pub fn status(&self) -> Option<MemberStatus> {
+        let values = self.query_row("SELECT dbgroup_status()")?;
         let value = |i: usize| values.get(i).cloned().flatten();
-        Some(Status {
+        Some(MemberStatus {
             is_primary: value(0)? == "primary",
             term: value(1)?.parse().ok()?,
             synced_term: value(2)?.parse().ok()?,
@@ -133,7 +133,7 @@
         })
     }
 
-    /// Opens a connection straight to the member.
+    /// Connects to the member directly, not through a proxy.
     pub fn connect(&self) -> Option<Client> {
         let mut config = postgres::Config::new();
         config.host(&self.address.ip().to_string());
@@ -143,7 +143,7 @@
         config.connect(NoTls).ok()
     }
 
-    fn call(&self, sql: &str) -> Option<Vec<Option<String>>> {
+    fn query_row(&self, sql: &str) -> Option<Vec<Option<String>>> {
         let mut client = self.connect()?;
         let answer = client.simple_query(sql).ok()?;
         answer.into_iter().find_map(|message| match message {
--- a/standin/src/bench/files.rs
+++ b/standin/src/bench/files.rs
@@ -1,4 +1,4 @@
-//! Files that the bench writes.
+//! Configuration and settings files of a bench.
 
 use std::{fmt::Write, net::SocketAddr};
 
@@ -13,15 +13,16 @@
     pub fn write_config(&self, file: &str) {
         let path = self.folder().join(file);
         std::fs::write(path, self.config_text(&self.settings.extra))
-            .expect("a file can be written");
+            .expect("the configuration file can be written");
     }
 
-    /// Configuration of this bench's services, with more lines for each.
+    /// Configuration of this bench's services as YAML, with the lines `extra` for
+    /// each service.
     pub fn config_text(&self, extra: &[String]) -> String {
         let mut text = String::from("services:\n");
         for (index, members) in self.endpoints.iter().enumerate() {
             let connections = self.settings.connections;
-            // Writing to memory does not fail.
+            // Writing to a String does not fail.
             let _ = writeln!(text, "  {}:", self.service(index));
             let _ = writeln!(text, "    connections: {connections}");
             for line in extra {
@@ -40,7 +41,7 @@
     }
 }
 
-/// Settings of a VM.
+/// Settings file of a VM.
 pub fn vm_settings(proxy: &ProxyProcess, platform: SocketAddr) -> String {
     format!(
         "vm: {}\nzone: {}\nregion: region\nplatform: \"{platform}\"\nauthentication: trust\n\
--- a/standin/src/bench/mod.rs
+++ b/standin/src/bench/mod.rs
@@ -1,5 +1,5 @@
-//! Starts the stand-ins and proxies as processes on loopback, for tests, the
-//! demo and measurements. It ends only what it started, by process id.
+//! Test bench: runs the stand-ins and proxies as processes on loopback, for
+//! tests, the demo and measurements. It kills only processes that it started.
 
 mod endpoint;
 mod files;
@@ -21,16 +21,16 @@
 
 use crate::platform::{Faults, Vm};
 
-/// Longest wait for a process to be ready.
+/// Longest wait until a process is ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
-/// Interval of looks at a condition.
-const POLL: Duration = Duration::from_millis(10);
+/// Interval at which a condition is checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// A running bench.
 pub struct Bench {
-    /// Settings it was started with.
+    /// Settings that it was started with.
     pub settings: BenchSettings,
-    /// Members by service.
+    /// Members of each service.
     pub endpoints: Vec<Vec<EndpointProcess>>,
     /// Proxies.
     pub proxies: Vec<ProxyProcess>,
@@ -38,23 +38,24 @@
     pub platform: SocketAddr,
     _platform: Process,
     folder: tempfile::TempDir,
-    programs: PathBuf,
+    program_folder: PathBuf,
 }
 
 impl Bench {
-    /// Starts a bench; the programs lie beside the current one or one folder up.
+    /// Starts a bench, with programs from the folder of the current one or, for a
+    /// test, its parent.
     ///
     /// # Panics
     ///
     /// Panics when a process can't be started or is not ready in time.
     pub fn start(settings: BenchSettings) -> Bench {
-        let programs = programs();
+        let program_folder = program_folder();
         let mut folder = tempfile::tempdir().expect("a temporary folder can be made");
-        // With this variable set the logs stay for a look at them.
+        // With this variable set, the logs are kept for inspection.
         folder.disable_cleanup(std::env::var_os("STANDIN_KEEP").is_some());
         let platform = free_address();
         let process = Process::start(
-            &programs.join("platform-standin"),
+            &program_folder.join("platform-standin"),
             &["--listen".into(), platform.to_string()],
             &folder.path().join("platform.log"),
         );
@@ -64,21 +65,21 @@
             platform,
             _platform: process,
             folder,
-            programs,
+            program_folder,
             settings,
         };
         wait_until("the platform answers", READY_TIMEOUT, || {
-            bench.get("vms").is_some()
+            bench.get_from_platform("vms").is_some()
         });
         bench.start_endpoints();
-        bench.plan_proxies();
+        bench.create_proxies();
         bench.publish_vms();
         bench.write_config("base.yaml");
         bench.apply("base.yaml");
         for index in 0..bench.proxies.len() {
             bench.start_proxy(index);
         }
-        bench.wait_for_routes();
+        bench.wait_for_slots();
         bench
     }
 
@@ -87,23 +88,23 @@
         format!("service-{index}")
     }
 
-    /// Addresses that callers use.
+    /// Address for callers of each proxy.
     pub fn caller_addresses(&self) -> Vec<SocketAddr> {
         self.proxies.iter().map(|proxy| proxy.callers).collect()
     }
 
-    /// Folder for files of this bench.
+    /// Folder that holds the logs and files of this bench.
     pub fn folder(&self) -> &Path {
         self.folder.path()
     }
 
-    /// Runs the command-line tool; its output, or its error line.
+    /// Runs the command-line tool and returns its output.
     ///
     /// # Errors
     ///
-    /// Returns the exit status and the error line.
+    /// Returns the exit status and the error output.
     pub fn run_cli(&self, args: &[&str]) -> Result<String, (i32, String)> {
-        let output = std::process::Command::new(self.programs.join("foxtailknot"))
+        let output = std::process::Command::new(self.program_folder.join("foxtailknot"))
             .args(args)
             .env("FOXTAILKNOT_PLATFORM", self.platform.to_string())
             .output()
@@ -119,7 +120,7 @@
     ///
     /// # Panics
     ///
-    /// Panics when it is not accepted.
+    /// Panics when the configuration is rejected.
     pub fn apply(&self, file: &str) {
         let path = self.folder.path().join(file);
         let path = path.to_string_lossy();
@@ -127,7 +128,7 @@
         self.run_cli(&args).expect("the configuration is accepted");
     }
 
-    /// Sets the platform's faults.
+    /// Sets the faults of the platform stand-in.
     ///
     /// # Panics
     ///
@@ -145,21 +146,21 @@
     ///
     /// Panics when the stand-in does not answer.
     pub fn publish_vms(&self) {
-        let vms: Vec<Vm> = self.proxies.iter().map(ProxyProcess::listed).collect();
+        let vms: Vec<Vm> = self.proxies.iter().map(ProxyProcess::vm_entry).collect();
         let url = format!("http://{}/control/vms", self.platform);
         ureq::put(&url)
             .send_json(&vms)
             .expect("the platform stand-in answers");
     }
 
-    /// Reads from the platform.
-    pub fn get(&self, path: &str) -> Option<serde_json::Value> {
+    /// Reads a JSON document from the platform stand-in.
+    pub fn get_from_platform(&self, path: &str) -> Option<serde_json::Value> {
         let url = format!("http://{}/{path}", self.platform);
         let mut answer = ureq::get(&url).call().ok()?;
         answer.body_mut().read_json().ok()
     }
 
-    /// Starts a planned or stopped proxy and waits until it is ready.
+    /// Starts a proxy that does not run and waits until it is ready.
     ///
     /// # Panics
     ///
@@ -170,8 +171,8 @@
         let seeds: Vec<String> = seeds.map(|(_, p)| format!("\"{}\"", p.peer)).collect();
         let line = format!("seeds: [{}]", seeds.join(", "));
         let lines = [&[line], self.settings.vm_extra.as_slice()].concat();
-        self.proxies[index].set_extra(lines);
-        let program = self.programs.join("foxtailknotd");
+        self.proxies[index].set_extra_settings(lines);
+        let program = self.program_folder.join("foxtailknotd");
         let log = self.folder.path().join(format!("vm-{index}.log"));
         let proxy = &mut self.proxies[index];
         proxy.start(&program, self.folder.path(), &log);
@@ -181,9 +182,9 @@
         });
     }
 
-    /// Starts a member again; it comes back empty and follows the primary.
+    /// Restarts a member; it starts without data and follows the primary.
     pub fn restart_endpoint(&mut self, service: usize, member: usize) {
-        let program = self.programs.join("endpoint-standin");
+        let program = self.program_folder.join("endpoint-standin");
         let log = self
             .folder
             .path()
@@ -193,7 +194,7 @@
         endpoint.start(&program, &log);
     }
 
-    /// Index of the member that leads in the highest term.
+    /// Index of the member that is the primary of the highest term.
     pub fn primary(&self, service: usize) -> Option<usize> {
         let statuses = self.endpoints[service].iter().map(EndpointProcess::status);
         let statuses: Vec<_> = statuses.collect();
@@ -206,42 +207,42 @@
 
     /// Indices of the proxies that hold a slot of a service.
     pub fn slot_holders(&self, service: usize) -> Vec<usize> {
-        let row = self.row(service).unwrap_or_default();
+        let row = self.service_row(service).unwrap_or_default();
         let slots = row["slots"].as_array().cloned().unwrap_or_default();
         let names = slots.iter().filter_map(|slot| slot["vm"].as_str());
-        names.filter_map(|vm| self.proxy_named(vm)).collect()
+        names.filter_map(|vm| self.proxy_index(vm)).collect()
     }
 
     /// Index of the proxy that is a service's delegate.
     pub fn delegate(&self, service: usize) -> Option<usize> {
-        self.proxy_named(self.row(service)?["delegate"].as_str()?)
+        self.proxy_index(self.service_row(service)?["delegate"].as_str()?)
     }
 
-    fn row(&self, service: usize) -> Option<serde_json::Value> {
-        let row = self.get(&format!("table/service/{}", self.service(service)))?;
+    fn service_row(&self, service: usize) -> Option<serde_json::Value> {
+        let row = self.get_from_platform(&format!("table/service/{}", self.service(service)))?;
         Some(row["value"].clone())
     }
 
-    fn proxy_named(&self, vm: &str) -> Option<usize> {
+    fn proxy_index(&self, vm: &str) -> Option<usize> {
         self.proxies.iter().position(|proxy| proxy.vm == vm)
     }
 
-    /// As [`Bench::primary`], among all members but one.
+    /// Index of a primary among all members but one.
     pub fn primary_excluding(&self, service: usize, excluded: usize) -> Option<usize> {
         let members = self.endpoints[service].iter().enumerate();
         let others = members.filter(|(index, _)| *index != excluded);
-        let leads = |member: &EndpointProcess| member.status().is_some_and(|s| s.is_primary);
-        let mut leading = others.filter(|(_, member)| leads(member));
-        leading.next().map(|(index, _)| index)
+        let is_primary = |member: &EndpointProcess| member.status().is_some_and(|s| s.is_primary);
+        let mut primaries = others.filter(|(_, member)| is_primary(member));
+        primaries.next().map(|(index, _)| index)
     }
 
     fn start_endpoints(&mut self) {
-        let program = self.programs.join("endpoint-standin");
+        let program = self.program_folder.join("endpoint-standin");
         for service in 0..self.settings.services {
             let addresses: Vec<SocketAddr> = (0..3).map(|_| free_address()).collect();
             let mut members = Vec::new();
             for index in 0..addresses.len() {
-                let mut member = EndpointProcess::plan(&self.settings, &addresses, index);
+                let mut member = EndpointProcess::new(&self.settings, &addresses, index);
                 let log = self
                     .folder
                     .path()
@@ -260,20 +261,20 @@
         }
     }
 
-    fn plan_proxies(&mut self) {
+    fn create_proxies(&mut self) {
         for index in 0..self.settings.proxies {
             let zone = format!("zone-{}", index % 3);
             let addresses = [(); 4].map(|()| free_address());
-            let proxy = ProxyProcess::plan(index, zone, addresses, self.platform);
+            let proxy = ProxyProcess::new(index, zone, addresses, self.platform);
             self.proxies.push(proxy);
         }
     }
 
-    fn wait_for_routes(&self) {
+    fn wait_for_slots(&self) {
         for service in 0..self.settings.services {
             let key = format!("table/service/{}", self.service(service));
             wait_until("the slots are placed", READY_TIMEOUT, || {
-                let row = self.get(&key);
+                let row = self.get_from_platform(&key);
                 let slots = row.as_ref().and_then(|r| r["value"]["slots"].as_array());
                 let held = slots.map(|s| s.iter().filter(|s| s["vm"].is_string()).count());
                 held == Some(self.settings.proxies.min(3))
@@ -282,28 +283,32 @@
     }
 }
 
-/// Waits until a condition holds.
+/// Waits until a condition holds; `condition` describes it.
 ///
 /// # Panics
 ///
-/// Panics when it does not hold in time.
-pub fn wait_until(what: &str, timeout: Duration, mut holds: impl FnMut() -> bool) {
+/// Panics when it does not hold within `timeout`.
+pub fn wait_until(condition: &str, timeout: Duration, mut holds: impl FnMut() -> bool) {
     let deadline = Instant::now() + timeout;
     while !holds() {
-        assert!(Instant::now() < deadline, "not in time: {what}");
-        std::thread::sleep(POLL);
+        assert!(
+            Instant::now() < deadline,
+            "timed out waiting until {condition}"
+        );
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// First port that benches use, below the range of outgoing connections.
+/// First port that benches use; all of them lie below the range of outgoing
+/// connections.
 const PORT_FIRST: u16 = 10_000;
-/// Ports that benches use.
+/// Number of ports that benches use.
 const PORTS: u16 = 20_000;
-/// Ports between the first ones of two processes.
+/// Distance between the first ports of two processes with successive ids.
 const PORTS_PER_PROCESS: u32 = 512;
 
-/// An address on loopback that nobody listens on and that this process has not
-/// given out before.
+/// A loopback address that is free and that this process has not returned
+/// before.
 ///
 /// # Panics
 ///
@@ -322,7 +327,7 @@
     panic!("loopback has no free port");
 }
 
-fn programs() -> PathBuf {
+fn program_folder() -> PathBuf {
     let own = std::env::current_exe().expect("the current program has a path");
     let folder = own.parent().expect("a program lies in a folder");
     match folder.ends_with("deps") {
--- a/standin/src/bench/process.rs
+++ b/standin/src/bench/process.rs
@@ -1,4 +1,4 @@
-//! A process that the bench started.
+//! Child processes of the bench.
 
 use std::{
     fs::File,
@@ -6,20 +6,20 @@
     process::{Child, Command, Stdio},
 };
 
-/// A process that the bench started; dropping it ends the process.
+/// A child process; dropping this kills it.
 pub struct Process {
     child: Child,
 }
 
 impl Process {
-    /// Starts a program whose output goes to a file.
+    /// Starts a program and redirects its output to a file.
     ///
     /// # Panics
     ///
     /// Panics when the program can't be started.
     pub fn start(program: &Path, args: &[String], log: &Path) -> Process {
         let output = File::create(log).expect("a log file can be made");
-        let errors = output.try_clone().expect("a file can be shared");
+        let errors = output.try_clone().expect("a file handle can be cloned");
         let child = Command::new(program)
             .args(args)
             .stdin(Stdio::null())
@@ -39,19 +39,19 @@
     ///
     /// # Panics
     ///
-    /// Panics when no signal can be sent.
+    /// Panics when the signal can't be sent.
     pub fn signal(&self, name: &str) {
         signal(self.id(), name);
     }
 
-    /// Ends the process at once.
+    /// Kills the process and waits for its end.
     pub fn kill(&mut self) {
-        // It may have ended already.
+        // It may have exited already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Whether the process has ended, and how.
+    /// Exit code, -1 after a signal, or `None` while the process runs.
     pub fn exit_code(&mut self) -> Option<i32> {
         let status = self.child.try_wait().ok()??;
         Some(status.code().unwrap_or(-1))
@@ -62,7 +62,7 @@
 ///
 /// # Panics
 ///
-/// Panics when no signal can be sent.
+/// Panics when the signal can't be sent.
 pub fn signal(id: u32, name: &str) {
     let sent = Command::new("kill")
         .args([format!("-{name}"), id.to_string()])
--- a/standin/src/bench/proxy.rs
+++ b/standin/src/bench/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy as a process.
+//! A proxy, run as a process.
 
 use std::{net::SocketAddr, path::Path, path::PathBuf};
 
@@ -7,7 +7,7 @@
 use super::{Process, files};
 use crate::platform::Vm;
 
-/// A proxy as a process.
+/// A proxy run as a process.
 pub struct ProxyProcess {
     /// Name of the VM.
     pub vm: String,
@@ -15,22 +15,22 @@
     pub zone: String,
     /// Address for callers.
     pub callers: SocketAddr,
-    /// Address for forwarded callers.
+    /// Address for connections that other VMs forward.
     pub internal: SocketAddr,
     /// Address for calls between VMs.
     pub peer: SocketAddr,
-    /// Address of metrics and health.
+    /// Address for metrics and health checks.
     pub admin: SocketAddr,
-    /// Whether the platform lists it as leaving.
+    /// Whether its entry in the platform's VM list says that it is leaving.
     pub leaving: bool,
     platform: SocketAddr,
-    extra: Vec<String>,
+    extra_settings: Vec<String>,
     process: Option<Process>,
 }
 
 impl ProxyProcess {
-    /// Plans a proxy.
-    pub fn plan(
+    /// Creates a proxy without starting it.
+    pub fn new(
         index: usize,
         zone: String,
         addresses: [SocketAddr; 4],
@@ -46,14 +46,14 @@
             admin,
             leaving: false,
             platform,
-            extra: Vec::new(),
+            extra_settings: Vec::new(),
             process: None,
         }
     }
 
-    /// Sets further lines of the VM's settings.
-    pub fn set_extra(&mut self, lines: Vec<String>) {
-        self.extra = lines;
+    /// Sets additional lines of the VM's settings.
+    pub fn set_extra_settings(&mut self, lines: Vec<String>) {
+        self.extra_settings = lines;
     }
 
     /// Starts the process.
@@ -64,7 +64,7 @@
     pub fn start(&mut self, program: &Path, folder: &Path, log: &Path) {
         let file: PathBuf = folder.join(format!("{}.yaml", self.vm));
         let mut text = files::vm_settings(self, self.platform);
-        for line in &self.extra {
+        for line in &self.extra_settings {
             text += line;
             text += "\n";
         }
@@ -73,8 +73,8 @@
         self.process = Some(Process::start(program, &args, log));
     }
 
-    /// How the platform lists it.
-    pub fn listed(&self) -> Vm {
+    /// Its entry in the platform's VM list.
+    pub fn vm_entry(&self) -> Vm {
         Vm {
             name: self.vm.clone(),
             zone: self.zone.clone(),
@@ -85,22 +85,22 @@
         }
     }
 
-    /// The process.
+    /// The process, unless it was never started or was killed.
     pub fn process(&mut self) -> Option<&mut Process> {
         self.process.as_mut()
     }
 
-    /// Id of the process while it is started.
+    /// Process id, unless it was never started or was killed.
     pub fn id(&self) -> Option<u32> {
         self.process.as_ref().map(Process::id)
     }
 
-    /// Ends the process at once.
+    /// Kills the process.
     pub fn kill(&mut self) {
         self.process = None;
     }
 
-    /// Connection settings of a driver.
+    /// Driver configuration for connections to a service.
     pub fn config(&self, service: &str) -> postgres::Config {
         let mut config = postgres::Config::new();
         config.host(&self.callers.ip().to_string());
@@ -110,7 +110,7 @@
         config
     }
 
-    /// Connects a driver.
+    /// Connects to a service.
     ///
     /// # Errors
     ///
@@ -119,7 +119,7 @@
         self.config(service).connect(NoTls)
     }
 
-    /// Connects a driver with a session token.
+    /// Connects to a service with a session token.
     ///
     /// # Errors
     ///
@@ -134,8 +134,9 @@
         config.connect(NoTls)
     }
 
-    /// Value of a metric, summed over its labels that contain `part`.
-    pub fn metric(&self, name: &str, part: &str) -> f64 {
+    /// Sum of the metric's samples whose lines contain `label`; 0 without an
+    /// answer.
+    pub fn metric(&self, name: &str, label: &str) -> f64 {
         let url = format!("http://{}/metrics", self.admin);
         let Ok(mut answer) = ureq::get(&url).call() else {
             return 0.0;
@@ -143,7 +144,7 @@
         let text = answer.body_mut().read_to_string().unwrap_or_default();
         let lines = text
             .lines()
-            .filter(|l| l.starts_with(name) && l.contains(part));
+            .filter(|l| l.starts_with(name) && l.contains(label));
         lines
             .filter_map(|line| line.rsplit(' ').next()?.parse::<f64>().ok())
             .sum()
--- a/standin/src/load/slopes.rs
+++ b/standin/src/load/slopes.rs
@@ -395,7 +395,9 @@
             totals.memory_bytes += usage.memory_bytes as f64;
         }
     }
-    let counters = bench.get("control/counters").unwrap_or_default();
+    let counters = bench
+        .get_from_platform("control/counters")
+        .unwrap_or_default();
     totals.reads = counters["reads"].as_f64().unwrap_or(0.0);
     totals.writes = counters["writes"].as_f64().unwrap_or(0.0);
     totals
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -102,7 +102,7 @@
     assert_eq!(violations, Vec::<Violation>::new(), "{:?}", log.failures);
     let budget = bench.settings.connections as usize;
     for member in &bench.endpoints[0] {
-        let peak = member.counts().unwrap().peak;
+        let peak = member.connection_counts().unwrap().peak;
         assert!(peak <= budget, "{peak} connections of {budget}");
     }
 }
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -255,7 +255,7 @@
     }
     let budget = bench.settings.connections as usize;
     for member in &bench.endpoints[0] {
-        let peak = member.counts().unwrap().peak;
+        let peak = member.connection_counts().unwrap().peak;
         assert!(peak <= budget, "{peak} connections of {budget}");
     }
     let mut client = bench.proxies[0].connect(&service).unwrap();
@@ -332,7 +332,7 @@
         let args = [&args[..], &["--overlay", path.to_str().unwrap()]].concat();
         bench.run_cli(&args).unwrap();
         let member = &bench.endpoints[0][leaving];
-        let statements = || member.counts().unwrap().statements;
+        let statements = || member.connection_counts().unwrap().statements;
         let mut clients: Vec<Client> = bench
             .proxies
             .iter()
