--- a/standin/src/bin/load.rs
+++ b/standin/src/bin/load.rs
@@ -1,4 +1,5 @@
-//! The load tool: starts a bench on loopback, measures, prints JSON lines.
+//! The load tool: starts a bench on loopback, measures it and prints the results
+//! as JSON lines.
 
 use std::{process::ExitCode, time::Duration};
 
@@ -11,82 +12,82 @@
         failover::{self, PrimaryFault},
         idle,
         latency::{self, LatencyPlan},
+        scaling,
         share::{self, SharePlan},
-        slopes,
     },
 };
 use stats_alloc::INSTRUMENTED_SYSTEM;
 
-/// Counts the memory that decisions hold.
+/// Counts the memory that the measured decisions hold.
 #[global_allocator]
-static ALLOCATOR: &slopes::Counter = &INSTRUMENTED_SYSTEM;
+static ALLOCATOR: &scaling::CountingAllocator = &INSTRUMENTED_SYSTEM;
 
 /// Measures foxtailknot on loopback.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options)]
 enum Command {
-    /// Reads served by replicas, per lag and way of carrying the session.
+    /// Share of the reads that replicas serve, per lag and way of transferring the session.
     #[bpaf(command)]
     Share {
         /// Lag of the replicas, in milliseconds; repeat for more.
         #[bpaf(argument("MS"))]
         lag_ms: Vec<u64>,
-        /// Reads of each caller.
+        /// Number of reads of each caller.
         #[bpaf(argument("COUNT"), fallback(100))]
         reads: usize,
-        /// Let the lag lie between receipt and replay instead of before receipt.
+        /// Apply the lag between receipt and replay instead of before receipt.
         replay: bool,
-        /// Acknowledgement of the service.
+        /// Acknowledgement mode of the service.
         #[bpaf(argument("MODE"), fallback("majority".into()))]
         acknowledge: String,
     },
-    /// Failover gaps.
+    /// Time without acknowledged writes during a failover.
     #[bpaf(command)]
     Failover {
-        /// Runs of each fault.
+        /// Number of runs with each fault.
         #[bpaf(argument("COUNT"), fallback(3))]
         runs: usize,
-        /// Sessions that write.
+        /// Number of sessions that write.
         #[bpaf(argument("COUNT"), fallback(8))]
         sessions: usize,
-        /// Also with the platform down.
+        /// Make the platform unavailable during the failover.
         platform_down: bool,
-        /// Acknowledgement of the service.
+        /// Acknowledgement mode of the service.
         #[bpaf(argument("MODE"), fallback("majority".into()))]
         acknowledge: String,
         /// Lag of the replicas, in milliseconds.
         #[bpaf(argument("MS"), fallback(0))]
         lag_ms: u64,
-        /// Only this fault.
+        /// Inject only this fault.
         #[bpaf(argument("FAULT"))]
         fault: Option<PrimaryFault>,
     },
-    /// Time and cost of a statement.
+    /// Latency and processor time of a statement.
     #[bpaf(command)]
     Latency {
         /// Length of each run, in seconds.
         #[bpaf(argument("SECONDS"), fallback(3))]
         length_s: u64,
-        /// Statements a second in an open loop; closed loop without.
+        /// Statements per second in an open loop; a closed loop without it.
         #[bpaf(argument("COUNT"))]
         rate: Option<u64>,
         /// Use prepared statements.
         prepared: bool,
     },
-    /// A mixed load with one failover, in words.
+    /// Run a mixed workload with one failover and describe the results.
     #[bpaf(command)]
     Demo,
-    /// Memory of idle callers.
+    /// Memory of a proxy with idle callers.
     #[bpaf(command)]
     Idle,
-    /// Cost of control at several sizes.
+    /// Cost of control plane decisions at several sizes.
     #[bpaf(command)]
     Slopes {
-        /// Number of VMs; without it what does not grow with it.
+        /// Number of VMs; without it, measure what does not grow with that number.
         #[bpaf(argument("COUNT"))]
         vms: Option<usize>,
     },
-    /// Cost of control in real processes at several numbers of VMs.
+    /// Cost of the control plane of idle proxies at several numbers of VMs.
     #[bpaf(command)]
     Control {
         /// Length of each run, in seconds.
@@ -129,15 +130,15 @@
         } => measure_latency(length_s, rate, prepared),
         Command::Demo => return demo(),
         Command::Idle => measure_idle(),
-        Command::Slopes { vms: Some(vms) } => slopes::run_at(vms, ALLOCATOR),
-        Command::Slopes { vms: None } => slopes::run(),
-        Command::Control { length_s } => slopes::control(Duration::from_secs(length_s)),
+        Command::Slopes { vms: Some(vms) } => scaling::run_for_vms(vms, ALLOCATOR),
+        Command::Slopes { vms: None } => scaling::run(),
+        Command::Control { length_s } => scaling::run_idle_proxies(Duration::from_secs(length_s)),
     }
     ExitCode::SUCCESS
 }
 
 fn measure_share(lags_ms: &[u64], reads: usize, replay: bool, acknowledge: &str) {
-    let ways = [
+    let scenarios = [
         ("staying", false, SessionTransfer::Token, ""),
         ("moving, token", true, SessionTransfer::Token, ""),
         (
@@ -154,7 +155,7 @@
         ),
     ];
     for &lag_ms in lags_ms {
-        for (name, switches_proxy, transfer, options) in ways {
+        for (name, switches_proxy, transfer, options) in scenarios {
             let settings = BenchSettings::builder()
                 .proxies(3)
                 .ship_lag_ms(if replay { 0 } else { lag_ms })
@@ -170,7 +171,7 @@
                 switches_proxy,
                 transfer,
                 options: options.to_owned(),
-                pace: Duration::from_millis(20),
+                pause: Duration::from_millis(20),
             };
             let report = share::run(&bench, &plan);
             println!(
@@ -216,7 +217,7 @@
             json!({
                 "measure": "failover", "fault": fault_name, "service": settings.extra,
                 "lag_ms": settings.ship_lag_ms, "platform_down": platform_down,
-                "gap_ms": gap_ms, "done": report.done, "failures": report.failures,
+                "gap_ms": gap_ms, "done": report.acknowledged, "failures": report.failures,
                 "violations": report.violations.len(),
             })
         );
@@ -247,18 +248,18 @@
         .enable_all()
         .build()
         .expect("a runtime can be made");
-    let mut ways = vec![("direct", bench.endpoints[0][1].address, None)];
+    let mut paths = vec![("direct", bench.endpoints[0][1].address, None)];
     for (name, index) in [
         ("slot holder", holders.first().copied()),
         ("forwarding", forwarding),
     ] {
         if let Some(index) = index {
             let id = bench.proxies[index].process().map(|p| p.id());
-            ways.push((name, bench.proxies[index].callers, id));
+            paths.push((name, bench.proxies[index].callers, id));
         }
     }
     for callers in [1, 16, 256] {
-        for (name, address, id) in &ways {
+        for (name, address, id) in &paths {
             let plan = LatencyPlan {
                 callers,
                 length: Duration::from_secs(length_s),
@@ -274,7 +275,7 @@
     }
 }
 
-/// Fails when a promise was broken.
+/// Runs the demo; fails when a consistency guarantee was violated.
 fn demo() -> ExitCode {
     println!("starting the platform, three members and three proxies on loopback");
     let settings = BenchSettings::builder().proxies(3).connect_ms(12).build();
@@ -287,7 +288,7 @@
         switches_proxy: true,
         transfer: SessionTransfer::Nothing,
         options: String::new(),
-        pace: Duration::from_millis(10),
+        pause: Duration::from_millis(10),
     };
     println!("12 callers read and write; every request reaches another proxy");
     let report = share::run(&bench, &plan);
@@ -305,12 +306,12 @@
     println!("failures that callers saw: {:?}", report.failures);
     println!(
         "of {} acknowledged writes, lost, doubled or misreported: {}",
-        report.done,
+        report.acknowledged,
         report.violations.len()
     );
-    let broken = stale + report.violations.len();
-    if broken > 0 {
-        eprintln!("{broken} reads or writes broke a promise");
+    let violations = stale + report.violations.len();
+    if violations > 0 {
+        eprintln!("{violations} reads or writes violated a guarantee");
         return ExitCode::FAILURE;
     }
     ExitCode::SUCCESS
--- a/standin/src/load/caller.rs
+++ b/standin/src/load/caller.rs
@@ -1,4 +1,4 @@
-//! A caller that can move between proxies and transfer its session.
+//! A caller that can switch between proxies and transfer its session.
 
 use std::{
     collections::BTreeMap,
@@ -11,24 +11,24 @@
 
 use crate::history::WriteOutcome;
 
-/// Longest wait for a connection.
+/// Time limit for connecting to a proxy, startup messages included.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time that a proxy that did not answer is left out.
-const AVOID: Duration = Duration::from_secs(5);
-/// Longest wait for an answer; longer than a proxy lets a request wait.
+/// Time for which a proxy that did not accept a connection is not tried again.
+const EJECTION_TIME: Duration = Duration::from_secs(5);
+/// Time limit for a response; longer than a proxy lets a request wait.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// How a caller carries its session to the next connection.
+/// How a caller transfers its session to the next connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display, strum::EnumString)]
 #[strum(serialize_all = "snake_case")]
 pub enum SessionTransfer {
-    /// It presents its token.
+    /// It presents its session token.
     Token,
-    /// It presents nothing.
+    /// It presents no session token.
     Nothing,
 }
 
-/// A caller.
+/// A caller with at most one connection to one of the proxies.
 pub struct Caller {
     addresses: Vec<SocketAddr>,
     service: String,
@@ -38,19 +38,19 @@
     options: String,
     token: Option<String>,
     client: Option<Client>,
-    /// Error with which the driver ended the connection.
-    ended: Option<Arc<OnceLock<tokio_postgres::Error>>>,
-    avoided: BTreeMap<SocketAddr, Instant>,
+    /// Error with which the driver's connection task ended.
+    connection_error: Option<Arc<OnceLock<tokio_postgres::Error>>>,
+    ejected_at: BTreeMap<SocketAddr, Instant>,
 }
 
 /// A failed request.
 #[derive(Clone, Debug)]
 pub struct RequestError {
-    /// SQLSTATE, or `connection`.
-    pub state: String,
-    /// Text with the number.
-    pub text: String,
-    /// What is known of the outcome.
+    /// SQLSTATE, or `connect`, `connection` or `timeout`.
+    pub code: String,
+    /// Error message; one from foxtailknot begins with its error number.
+    pub message: String,
+    /// Known outcome of the request.
     pub outcome: WriteOutcome,
 }
 
@@ -66,34 +66,34 @@
             options: String::new(),
             token: None,
             client: None,
-            ended: None,
-            avoided: BTreeMap::new(),
+            connection_error: None,
+            ejected_at: BTreeMap::new(),
         }
     }
 
-    /// Makes every request use another proxy.
-    pub fn moving(mut self, transfer: SessionTransfer) -> Caller {
+    /// Makes every request use the next proxy.
+    pub fn switching_proxies(mut self, transfer: SessionTransfer) -> Caller {
         self.switches_proxy = true;
         self.transfer = transfer;
         self
     }
 
-    /// Adds startup options.
+    /// Sets startup options.
     pub fn with_options(mut self, options: &str) -> Caller {
         self.options = options.to_owned();
         self
     }
 
-    /// Moves to the next proxy now.
-    pub fn move_on(&mut self) {
+    /// Disconnects; the next request uses the next proxy.
+    pub fn disconnect(&mut self) {
         self.client = None;
     }
 
-    /// Runs a statement; the first column of its rows.
+    /// Runs a statement and returns the first column of its rows.
     ///
     /// # Errors
     ///
-    /// Returns what is known of the outcome.
+    /// Returns the error with the known outcome of the request.
     pub async fn run(&mut self, sql: &str) -> Result<Vec<String>, RequestError> {
         if self.client.as_ref().is_none_or(Client::is_closed) {
             self.client = Some(self.connect().await?);
@@ -107,20 +107,21 @@
             Err(_) => {
                 self.client = None;
                 return Err(RequestError {
-                    state: "timeout".into(),
-                    text: "no answer".into(),
+                    code: "timeout".into(),
+                    message: "no answer".into(),
                     outcome: WriteOutcome::Unknown,
                 });
             }
             Ok(Err(error)) => {
-                // A refusal that the driver met while no request was on the
-                // connection ends it; what was asked for later was not sent.
-                let refused = self.ended.as_ref().and_then(|ended| ended.get());
-                let refused = refused.filter(|e| error.is_closed() && e.as_db_error().is_some());
-                let mut failed = failed(refused.unwrap_or(&error));
-                if failed.state == "connection" {
-                    let end = self.ended.as_ref().and_then(|ended| ended.get());
-                    failed.text += &end.map_or(", no end".into(), |end| format!(", {end}"));
+                // A database error that the driver receives while no request is
+                // in progress closes the connection; a later request is not sent.
+                let closing_error = self.connection_error.as_ref().and_then(|error| error.get());
+                let closing_error =
+                    closing_error.filter(|e| error.is_closed() && e.as_db_error().is_some());
+                let mut failed = request_error(closing_error.unwrap_or(&error));
+                if failed.code == "connection" {
+                    let end = self.connection_error.as_ref().and_then(|error| error.get());
+                    failed.message += &end.map_or(", no end".into(), |end| format!(", {end}"));
                 }
                 if client.is_closed() {
                     self.client = None;
@@ -129,14 +130,14 @@
             }
         };
         if self.switches_proxy {
-            self.learn_token().await;
+            self.fetch_token().await;
             self.client = None;
         }
         Ok(answer)
     }
 
-    /// Remembers the session's token.
-    pub async fn learn_token(&mut self) {
+    /// Reads and keeps the current session token.
+    pub async fn fetch_token(&mut self) {
         let Some(client) = &self.client else { return };
         let shown = client.simple_query("SHOW foxtailknot.session_token").await;
         let shown = shown.ok().and_then(|answer| values(&answer).pop());
@@ -150,25 +151,27 @@
         for _ in 0..self.addresses.len() {
             let address = self.addresses[self.next % self.addresses.len()];
             self.next += 1;
-            if self.is_avoided(address) {
+            if self.is_ejected(address) {
                 continue;
             }
-            // The driver's own limit covers only the first part of a connection.
+            // The driver's connect timeout covers only the TCP connection, not
+            // the startup messages.
             let connecting = tokio::time::timeout(CONNECT_TIMEOUT, self.connect_to(address));
             match connecting.await {
                 Ok(Ok(client)) => return Ok(client),
                 Ok(Err(error)) => last = not_connected(&error.to_string()),
                 Err(_) => last = not_connected("no answer"),
             }
-            self.avoided.insert(address, Instant::now());
+            self.ejected_at.insert(address, Instant::now());
         }
         Err(last)
     }
 
-    /// A balancer sends nobody to a proxy that did not answer a moment ago.
-    fn is_avoided(&self, address: SocketAddr) -> bool {
-        let since = self.avoided.get(&address);
-        since.is_some_and(|since| since.elapsed() < AVOID)
+    /// Imitates a load balancer, which for a while sends no connections to a
+    /// server that did not respond.
+    fn is_ejected(&self, address: SocketAddr) -> bool {
+        let ejected_at = self.ejected_at.get(&address);
+        ejected_at.is_some_and(|at| at.elapsed() < EJECTION_TIME)
     }
 
     async fn connect_to(&mut self, address: SocketAddr) -> Result<Client, tokio_postgres::Error> {
@@ -187,13 +190,14 @@
         }
         config.options(options.trim());
         let (client, mut connection) = config.connect(NoTls).await?;
-        let ended = Arc::new(OnceLock::new());
-        self.ended = Some(ended.clone());
+        let connection_error = Arc::new(OnceLock::new());
+        self.connection_error = Some(connection_error.clone());
         tokio::spawn(async move {
-            // Requests learn of the end only when the connection is dropped.
+            // The client sees a closed connection only once this is dropped, so
+            // the error is set before.
             if let Err(error) = (&mut connection).await {
-                // Set once, by this task alone.
-                let _ = ended.set(error);
+                // Only this task sets it, once.
+                let _ = connection_error.set(error);
             }
         });
         Ok(client)
@@ -208,19 +212,19 @@
     rows.collect()
 }
 
-fn failed(error: &tokio_postgres::Error) -> RequestError {
+fn request_error(error: &tokio_postgres::Error) -> RequestError {
     let Some(db) = error.as_db_error() else {
-        // A connection that broke says nothing of the outcome.
+        // After a broken connection the outcome is unknown.
         return RequestError {
-            state: "connection".into(),
-            text: error.to_string(),
+            code: "connection".into(),
+            message: error.to_string(),
             outcome: WriteOutcome::Unknown,
         };
     };
     let is_unknown = db.detail().is_some_and(|d| d.contains("unknown"));
     RequestError {
-        state: db.code().code().to_owned(),
-        text: db.message().to_owned(),
+        code: db.code().code().to_owned(),
+        message: db.message().to_owned(),
         outcome: match is_unknown {
             true => WriteOutcome::Unknown,
             false => WriteOutcome::NotRun,
@@ -230,8 +234,8 @@
 
 fn not_connected(text: &str) -> RequestError {
     RequestError {
-        state: "connect".into(),
-        text: text.to_owned(),
+        code: "connect".into(),
+        message: text.to_owned(),
         outcome: WriteOutcome::NotRun,
     }
 }
--- a/standin/src/load/failover.rs
+++ b/standin/src/load/failover.rs
@@ -1,4 +1,4 @@
-//! Failover: what callers see while a primary fails.
+//! Failover under load: gap in writes, failures and violated guarantees.
 
 use std::{
     collections::BTreeMap,
@@ -15,43 +15,44 @@
     platform::Faults,
 };
 
-/// Longest wait for writes to go on.
-const RESUME_TIMEOUT: Duration = Duration::from_secs(30);
-/// Acknowledged writes before the fault, and after it.
-const WRITES_AROUND: usize = 100;
+/// Longest wait for each step of a failover.
+const STEP_TIMEOUT: Duration = Duration::from_secs(30);
+/// Minimum number of acknowledged writes before the fault and after the
+/// failover.
+const WRITES_BEFORE_AND_AFTER: usize = 100;
 
-/// A fault of the primary.
+/// Fault of the primary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display, strum::EnumString)]
 #[strum(serialize_all = "snake_case")]
 pub enum PrimaryFault {
     /// Its process is killed.
     Kill,
-    /// Its process is killed, and the VM that is the service's delegate too.
+    /// Its process is killed, and that of the proxy that is the service's delegate.
     KillWithDelegate,
-    /// Its process is stopped and continued after the failover.
+    /// Its process is suspended and resumed after the failover.
     Freeze,
-    /// It is cut off from its peers, but not from the proxies.
+    /// It can't reach its peers, nor they it, but the proxies can.
     CutFromPeers,
-    /// It is cut off from everybody and comes back after the failover.
+    /// Neither peers nor proxies can reach it until the failover is over.
     Silence,
 }
 
-/// What a failover was like.
+/// Measurements of one failover.
 #[derive(Clone, Debug)]
 pub struct FailoverReport {
     /// Longest time without an acknowledged write.
     pub gap: Duration,
-    /// Failures that callers saw, by SQLSTATE and number.
+    /// Number of failed requests, by SQLSTATE and error number.
     pub failures: BTreeMap<String, usize>,
-    /// Acknowledged writes.
-    pub done: usize,
-    /// Broken promises.
+    /// Number of acknowledged writes.
+    pub acknowledged: usize,
+    /// Violated guarantees.
     pub violations: Vec<Violation>,
-    /// Member that led before and after.
+    /// Indices of the primary before and after.
     pub primaries: (usize, usize),
 }
 
-/// Creates the table; it must be there before replicas are read.
+/// Creates the table; replicas must have it before they serve reads.
 ///
 /// # Panics
 ///
@@ -65,11 +66,11 @@
         .expect("the table can be created");
 }
 
-/// Causes one fault under load and reports.
+/// Injects one fault under load and measures the failover.
 ///
 /// # Panics
 ///
-/// Panics when writes do not go on in time.
+/// Panics when a step takes longer than the time limit.
 pub fn run(
     bench: &mut Bench,
     fault: PrimaryFault,
@@ -87,14 +88,14 @@
         writes: usize::MAX,
         switches_proxy: false,
         transfer: SessionTransfer::Token,
-        pace: Duration::from_millis(2),
+        pause: Duration::from_millis(2),
         prefix,
     };
-    let before = bench.primary(0).expect("a member leads");
+    let before = bench.primary(0).expect("a member is the primary");
     let _entered = runtime.enter();
     let writers = Writers::start(&addresses, &bench.service(0), &plan);
-    wait_until("writes land", RESUME_TIMEOUT, || {
-        writers.acknowledged() >= WRITES_AROUND
+    wait_until("writes are acknowledged", STEP_TIMEOUT, || {
+        writers.acknowledged() >= WRITES_BEFORE_AND_AFTER
     });
     if platform_down {
         bench.set_faults(&Faults {
@@ -102,38 +103,40 @@
             ..Faults::default()
         });
     }
-    let failed_at = writers.started.elapsed();
-    cause(bench, fault, before);
+    let fault_at = writers.started.elapsed();
+    inject_fault(bench, fault, before);
     let mut after = before;
-    wait_until("another member leads", RESUME_TIMEOUT, || {
-        match bench.primary_excluding(0, before) {
-            Some(leader) => {
-                after = leader;
+    wait_until(
+        "another member is the primary",
+        STEP_TIMEOUT,
+        || match bench.primary_excluding(0, before) {
+            Some(primary) => {
+                after = primary;
                 true
             }
             None => false,
-        }
-    });
-    let done = writers.acknowledged();
-    wait_until("writes go on", RESUME_TIMEOUT, || {
-        writers.acknowledged() >= done + WRITES_AROUND
+        },
+    );
+    let acknowledged = writers.acknowledged();
+    wait_until("writes are acknowledged again", STEP_TIMEOUT, || {
+        writers.acknowledged() >= acknowledged + WRITES_BEFORE_AND_AFTER
     });
-    heal(bench, fault, before);
+    end_fault(bench, fault, before);
     let log = runtime.block_on(writers.stop());
     bench.set_faults(&Faults::default());
-    // Another member may lead by now.
-    let leader = bench.primary(0).expect("a member leads");
-    let stored = stored_keys(bench, leader);
+    // A further failover may have happened since.
+    let primary = bench.primary(0).expect("a member is the primary");
+    let stored = stored_keys(bench, primary);
     FailoverReport {
-        gap: log.gap_after(failed_at),
+        gap: log.longest_gap_after(fault_at),
         failures: log.failures.clone(),
-        done: log.done.len(),
+        acknowledged: log.acknowledged_at.len(),
         violations: check(&log.history(stored)),
         primaries: (before, after),
     }
 }
 
-fn cause(bench: &mut Bench, fault: PrimaryFault, member: usize) {
+fn inject_fault(bench: &mut Bench, fault: PrimaryFault, member: usize) {
     if fault == PrimaryFault::KillWithDelegate {
         let delegate = bench.delegate(0).expect("the service has a delegate");
         bench.proxies[delegate].kill();
@@ -147,7 +150,7 @@
     }
 }
 
-fn heal(bench: &mut Bench, fault: PrimaryFault, member: usize) {
+fn end_fault(bench: &mut Bench, fault: PrimaryFault, member: usize) {
     match fault {
         PrimaryFault::Kill | PrimaryFault::KillWithDelegate => bench.restart_endpoint(0, member),
         PrimaryFault::Freeze => bench.endpoints[0][member].thaw(),
@@ -155,14 +158,14 @@
         PrimaryFault::Silence => bench.endpoints[0][member].set_unreachable(false),
     }
     let endpoint = &bench.endpoints[0][member];
-    wait_until("the member follows again", RESUME_TIMEOUT, || {
+    wait_until("the member follows again", STEP_TIMEOUT, || {
         endpoint
             .status()
             .is_some_and(|s| !s.is_primary && s.synced_term > 1)
     });
 }
 
-/// Keys that a member holds.
+/// Key of each row that a member stores.
 ///
 /// # Panics
 ///
--- a/standin/src/load/idle.rs
+++ b/standin/src/load/idle.rs
@@ -1,4 +1,4 @@
-//! Memory of idle callers.
+//! Memory of a proxy with idle callers.
 
 use serde::Serialize;
 
@@ -8,15 +8,16 @@
 /// Memory of a proxy with idle callers.
 #[derive(Clone, Debug, Serialize)]
 pub struct IdleReport {
-    /// Callers connected.
+    /// Number of connected callers.
     pub callers: usize,
     /// Memory of the proxy, in bytes.
     pub memory_bytes: u64,
-    /// More than without callers, per caller, in bytes.
+    /// Increase over the memory without callers, per caller, in bytes.
     pub per_caller_bytes: f64,
 }
 
-/// Connects callers in steps; each has run one statement before it idles.
+/// Connects up to each number of `steps` callers, which run one statement and
+/// then stay idle, and measures the proxy's memory.
 ///
 /// # Panics
 ///
--- a/standin/src/load/latency.rs
+++ b/standin/src/load/latency.rs
@@ -1,5 +1,5 @@
-//! Time and cost of statements: straight to a member, through a slot holder,
-//! and through a VM that forwards.
+//! Latency and processor time of statements sent to one address: a member, a
+//! slot holder or a forwarding VM.
 
 use std::{
     net::SocketAddr,
@@ -12,35 +12,35 @@
 
 use super::usage::Usage;
 
-/// What is sent.
+/// Workload of a latency measurement.
 #[derive(Clone, Debug)]
 pub struct LatencyPlan {
-    /// Callers at once.
+    /// Number of concurrent callers.
     pub callers: usize,
-    /// Length of the run.
+    /// Duration of the run.
     pub length: Duration,
-    /// Statements a second over all callers; closed loop without.
+    /// Statements per second of all callers together; `None` for a closed loop.
     pub rate: Option<u64>,
     /// Whether statements are prepared.
     pub prepared: bool,
 }
 
-/// What came of it.
+/// Result of a latency measurement.
 #[derive(Clone, Debug, Serialize)]
 pub struct LatencyReport {
-    /// Callers at once.
+    /// Number of concurrent callers.
     pub callers: usize,
-    /// Statements done.
+    /// Statements that succeeded.
     pub done: u64,
     /// Statements that failed.
     pub failed: u64,
-    /// Statements a second.
+    /// Successful statements per second.
     pub per_s: f64,
-    /// Median, in microseconds.
+    /// Median latency, in microseconds.
     pub p50_us: u64,
-    /// 99th percentile, in microseconds.
+    /// 99th percentile of the latency, in microseconds.
     pub p99_us: u64,
-    /// 99.9th percentile, in microseconds.
+    /// 99.9th percentile of the latency, in microseconds.
     pub p999_us: u64,
     /// Processor time of the measured process per statement, in microseconds.
     pub cpu_us: Option<f64>,
@@ -48,7 +48,8 @@
 
 const READ_SQL: &str = "SELECT 1";
 
-/// Runs statements against `address` and reports; `process` is measured.
+/// Runs statements against `address` and measures them, with the processor time
+/// of `process`.
 pub async fn run(
     address: SocketAddr,
     service: &str,
@@ -67,7 +68,7 @@
     let mut failed = 0;
     for task in tasks {
         if let Ok((own, own_failed)) = task.await {
-            // Both count the same range.
+            // Histograms that grow can always be added.
             let _ = times.add(own);
             failed += own_failed;
         }
@@ -119,8 +120,8 @@
             .mul_f64(index as f64 / plan.callers as f64);
     let mut failed = 0;
     while started.elapsed() < plan.length {
-        // In an open loop the time counts from when the statement was due, so
-        // that a pause of the server is not left out.
+        // In an open loop latency is measured from the time at which the
+        // statement was due, to avoid coordinated omission when the server pauses.
         let from = match interval {
             Some(interval) => {
                 tokio::time::sleep_until(due.into()).await;
@@ -135,7 +136,7 @@
             None => client.simple_query(READ_SQL).await.is_ok(),
         };
         match is_done {
-            // The histogram grows with what it records.
+            // The histogram resizes itself, so that recording does not fail.
             true => drop(times.record(from.elapsed().as_micros() as u64)),
             false => failed += 1,
         }
@@ -144,5 +145,5 @@
 }
 
 fn new_histogram() -> Histogram<u64> {
-    Histogram::new(3).expect("three digits are possible")
+    Histogram::new(3).expect("three significant digits are supported")
 }
--- a/standin/src/load/mod.rs
+++ b/standin/src/load/mod.rs
@@ -1,15 +1,16 @@
-//! Load on a bench, and what is measured with it.
+//! Workloads for a bench and the measurements made with them.
 
 pub mod caller;
 pub mod failover;
 pub mod idle;
 pub mod latency;
+pub mod scaling;
 pub mod share;
-pub mod slopes;
 pub mod usage;
 pub mod writers;
 
-/// A runtime for a load; it leaves most of the machine to what is measured.
+/// Runtime for a workload, with few threads so that most of the machine is left
+/// to the measured processes.
 ///
 /// # Panics
 ///
--- a/standin/src/load/slopes.rs
+++ b/standin/src/load/scaling.rs
@@ -1,5 +1,5 @@
-//! Cost of control: decisions at several sizes in this process, and real
-//! processes at several numbers of VMs.
+//! How the cost of the control plane scales: decisions measured in this process
+//! at several sizes, and idle proxies measured at several numbers of VMs.
 
 use std::{
     alloc::System,
@@ -37,26 +37,27 @@
 use super::usage::Usage;
 use crate::bench::{Bench, BenchSettings};
 
-/// Counts the memory that this process holds.
-pub type Counter = StatsAlloc<System>;
+/// Allocator that counts the memory held by this process.
+pub type CountingAllocator = StatsAlloc<System>;
 
-/// Services for each VM at the target.
+/// Number of services per VM at the target scale.
 const SERVICES_PER_VM: f64 = 11_000.0 / 4_600.0;
-/// VMs that a daemon's guardians take in within one tick.
-const GUARDIAN_STEP: usize = 32;
-/// Seed of everything random here.
+/// Number of VMs that a daemon adds to its standby map in one tick.
+const STANDBY_MAP_STEP: usize = 32;
+/// Seed of the random number generators.
 const SEED: u64 = 7;
 
-/// Measures what grows with the number of VMs; one process for one number, so
-/// that memory of an earlier measurement does not hide that of a later one.
-pub fn run_at(vms: usize, counter: &Counter) {
-    measure_site(vms, counter);
-    measure_guardians(vms, counter);
-    measure_membership(vms, counter);
-    measure_spread(vms);
+/// Measures what grows with the number of VMs. Use one process per number:
+/// memory left from an earlier measurement would hide that of a later one.
+pub fn run_for_vms(vms: usize, allocator: &CountingAllocator) {
+    measure_site(vms, allocator);
+    measure_standby_map(vms, allocator);
+    measure_membership(vms, allocator);
+    measure_gossip(vms);
 }
 
-/// Measures the other decisions.
+/// Measures the decisions whose cost does not depend on the number of VMs, and
+/// placement at several numbers.
 pub fn run() {
     measure_placement();
     measure_messages();
@@ -64,14 +65,14 @@
     measure_statement();
 }
 
-fn measure_membership(vms: usize, counter: &Counter) {
+fn measure_membership(vms: usize, allocator: &CountingAllocator) {
     let mut rng = SmallRng::seed_from_u64(SEED);
-    let memory = Region::new(counter);
+    let memory = Region::new(allocator);
     let mut membership = new_membership();
     for index in 0..vms {
         membership.listed(0, &vm_name(index), &place_of(index), false);
     }
-    let memory_bytes = grown(&memory);
+    let memory_bytes = net_allocated(&memory);
     let rounds = 2_000;
     let started = Instant::now();
     for round in 0..rounds {
@@ -94,54 +95,54 @@
     }));
 }
 
-fn measure_guardians(vms: usize, counter: &Counter) {
+fn measure_standby_map(vms: usize, allocator: &CountingAllocator) {
     let services = (vms as f64 * SERVICES_PER_VM) as usize;
-    let mut guardians = StandbyMap::default();
+    let mut standbys = StandbyMap::default();
     let names: BTreeSet<_> = (0..vms).map(vm_name).collect();
-    let memory = Region::new(counter);
+    let memory = Region::new(allocator);
     let started = Instant::now();
-    let services_named: Vec<Arc<str>> = (0..services)
+    let service_names: Vec<Arc<str>> = (0..services)
         .map(|index| format!("service-{index}").into())
         .collect();
-    guardians.add_services(services_named.iter());
+    standbys.add_services(service_names.iter());
     let mut longest_step = Duration::ZERO;
     let mut is_done = false;
     while !is_done {
         let step = Instant::now();
-        is_done = guardians.converge(&names, GUARDIAN_STEP);
+        is_done = standbys.converge(&names, STANDBY_MAP_STEP);
         longest_step = longest_step.max(step.elapsed());
     }
     let build = started.elapsed();
-    let memory_bytes = grown(&memory);
+    let memory_bytes = net_allocated(&memory);
     let started = Instant::now();
     let rounds = 20;
     for index in 0..rounds {
-        guardians.remove_vm(&vm_name(index));
-        guardians.add_vm(&vm_name(index));
+        standbys.remove_vm(&vm_name(index));
+        standbys.add_vm(&vm_name(index));
     }
     let replace = started.elapsed() / rounds as u32;
     let started = Instant::now();
-    let mut guarded = 0;
+    let mut service_count = 0;
     for index in 0..rounds {
-        guarded += guardians.services_of(&vm_name(index)).len();
+        service_count += standbys.services_of(&vm_name(index)).len();
     }
-    let look = started.elapsed() / rounds as u32;
+    let lookup = started.elapsed() / rounds as u32;
     print(json!({
         "slope": "guardians", "vms": vms, "services": services,
         "build_ms": build.as_secs_f64() * 1e3,
         "longest_step_ms": longest_step.as_secs_f64() * 1e3,
         "replace_vm_us": replace.as_secs_f64() * 1e6,
-        "look_us": look.as_secs_f64() * 1e6,
-        "guarded": guarded as f64 / rounds as f64,
+        "look_us": lookup.as_secs_f64() * 1e6,
+        "guarded": service_count as f64 / rounds as f64,
         "memory_bytes": memory_bytes,
     }));
 }
 
-fn measure_site(vms: usize, counter: &Counter) {
+fn measure_site(vms: usize, allocator: &CountingAllocator) {
     let services = (vms as f64 * SERVICES_PER_VM) as usize;
-    let memory = Region::new(counter);
-    let site = new_site(services);
-    let memory_bytes = grown(&memory);
+    let memory = Region::new(allocator);
+    let site = new_site_settings(services);
+    let memory_bytes = net_allocated(&memory);
     let bytes = serde_json::to_vec(&site).map_or(0, |body| body.len());
     let mut changed = site.clone();
     let started = Instant::now();
@@ -160,51 +161,53 @@
     }));
 }
 
-/// Spread of news: each VM that hears tells three others once; each second
-/// every VM also compares versions with another.
-fn measure_spread(vms: usize) {
+/// Simulates how an update spreads: each VM that receives it sends it once to
+/// three others, and once a second each VM also compares versions with another.
+fn measure_gossip(vms: usize) {
     const FANOUT: usize = 3;
     const STEP_MS: u64 = 50;
-    const PROBE_MS: u64 = 1_000;
+    const PROBE_INTERVAL_MS: u64 = 1_000;
     let mut worst_ms = 0;
-    let mut told = 0;
+    let mut messages = 0;
     let runs = 20;
     for run in 0..runs {
         let mut rng = SmallRng::seed_from_u64(SEED + run);
-        let mut knows = vec![false; vms];
-        knows[0] = true;
-        let mut fresh = vec![0];
+        let mut informed = vec![false; vms];
+        informed[0] = true;
+        let mut newly_informed = vec![0];
         let mut now_ms = 0;
-        while knows.iter().any(|knows| !knows) {
+        while informed.iter().any(|informed| !informed) {
             now_ms += STEP_MS;
             let mut next = Vec::new();
-            for _ in &fresh {
+            for _ in &newly_informed {
                 for other in sample(&mut rng, vms, FANOUT) {
-                    told += 1;
-                    if !std::mem::replace(&mut knows[other], true) {
+                    messages += 1;
+                    if !std::mem::replace(&mut informed[other], true) {
                         next.push(other);
                     }
                 }
             }
-            let probing = (0..vms)
-                .filter(|vm| (*vm as u64 * 7) % PROBE_MS / STEP_MS == now_ms % PROBE_MS / STEP_MS);
+            let probing = (0..vms).filter(|vm| {
+                (*vm as u64 * 7) % PROBE_INTERVAL_MS / STEP_MS
+                    == now_ms % PROBE_INTERVAL_MS / STEP_MS
+            });
             for vm in probing.collect::<Vec<_>>() {
                 let other = rng.random_range(0..vms);
-                let either = knows[vm] || knows[other];
+                let either = informed[vm] || informed[other];
                 for index in [vm, other] {
-                    if either && !std::mem::replace(&mut knows[index], true) {
+                    if either && !std::mem::replace(&mut informed[index], true) {
                         next.push(index);
                     }
                 }
             }
-            fresh = next;
+            newly_informed = next;
         }
         worst_ms = worst_ms.max(now_ms);
     }
     print(json!({
         "slope": "spread", "vms": vms, "runs": runs, "seed": SEED,
         "step_ms": STEP_MS, "worst_ms": worst_ms,
-        "told_per_vm": told as f64 / (runs as usize * vms) as f64,
+        "told_per_vm": messages as f64 / (runs as usize * vms) as f64,
     }));
 }
 
@@ -265,10 +268,10 @@
             version: kept,
             services: [("service-1".into(), Some(service(1)))].into(),
         };
-        let news = ConfigUpdate { head, change };
+        let update = ConfigUpdate { head, change };
         print(json!({
             "slope": "message", "kind": "news", "changes_kept": kept,
-            "bytes": bytes(serde_json::to_vec(&news)),
+            "bytes": bytes(serde_json::to_vec(&update)),
         }));
     }
     let mut row = ServiceRow::default();
@@ -329,21 +332,21 @@
         answered_ms: 1,
     };
     let sql = "SELECT name, stock FROM shades WHERE colour = 7 AND shop = 12 ORDER BY name";
-    time("route", || route(&request, &members, &ages, 2));
-    time("acknowledge", || {
+    measure_decision("route", || route(&request, &members, &ages, 2));
+    measure_decision("acknowledge", || {
         acknowledge(AcknowledgeMode::Majority, &commit, &members)
     });
-    time("classify, parsed", || classify(sql));
-    time("classify, seen before", || {
+    measure_decision("classify, parsed", || classify(sql));
+    measure_decision("classify, seen before", || {
         foxtailknot::proxy::class_cache::class_of(sql)
     });
 }
 
-fn time<T>(name: &str, work: impl Fn() -> T) {
+fn measure_decision<T>(name: &str, decide: impl Fn() -> T) {
     let rounds = 20_000;
     let started = Instant::now();
     for _ in 0..rounds {
-        black_box(work());
+        black_box(decide());
     }
     print(json!({
         "slope": "decision", "decision": name,
@@ -352,7 +355,7 @@
 }
 
 /// Measures idle proxies at several numbers of VMs and services.
-pub fn control(length: Duration) {
+pub fn run_idle_proxies(length: Duration) {
     for (proxies, services) in [(3, 3), (6, 3), (12, 3), (6, 1), (6, 6)] {
         let settings = BenchSettings::builder()
             .proxies(proxies)
@@ -377,7 +380,7 @@
 }
 
 #[derive(Default)]
-struct Totals {
+struct ResourceTotals {
     cpu_us: f64,
     memory_bytes: f64,
     peer_bytes: f64,
@@ -385,8 +388,8 @@
     writes: f64,
 }
 
-fn totals(bench: &mut Bench) -> Totals {
-    let mut totals = Totals::default();
+fn totals(bench: &mut Bench) -> ResourceTotals {
+    let mut totals = ResourceTotals::default();
     for proxy in &mut bench.proxies {
         totals.peer_bytes += proxy.metric("foxtailknot_peer_bytes", "");
         let id = proxy.process().map(|process| process.id());
@@ -421,7 +424,7 @@
     }
 }
 
-fn new_site(services: usize) -> SiteSettings {
+fn new_site_settings(services: usize) -> SiteSettings {
     let services = (0..services).map(|i| (format!("service-{i}").into(), service(i)));
     SiteSettings {
         services: services.collect(),
@@ -456,8 +459,8 @@
     }
 }
 
-/// Bytes allocated since the region began and not freed.
-fn grown(region: &Region<'_, System>) -> usize {
+/// Bytes allocated and not freed since the region began.
+fn net_allocated(region: &Region<'_, System>) -> usize {
     let change = region.change();
     change
         .bytes_allocated
--- a/standin/src/load/usage.rs
+++ b/standin/src/load/usage.rs
@@ -2,17 +2,18 @@
 
 use std::fs;
 
-/// Clock ticks in a second, the same on every Linux that Rust supports.
+/// Clock ticks per second; the value is the same on every Linux that Rust
+/// supports.
 const TICKS_PER_S: f64 = 100.0;
-/// Bytes of a page of memory.
+/// Size of a memory page, in bytes.
 const PAGE_BYTES: u64 = 4_096;
 
 /// Processor time and memory of a process.
 #[derive(Clone, Copy, Debug)]
 pub struct Usage {
-    /// Processor time so far, in microseconds.
+    /// Processor time used so far, in microseconds.
     pub cpu_us: f64,
-    /// Memory in use, in bytes.
+    /// Resident memory, in bytes.
     pub memory_bytes: u64,
 }
 
@@ -20,7 +21,7 @@
     /// Reads the usage of a process.
     pub fn of(id: u32) -> Option<Usage> {
         let stat = fs::read_to_string(format!("/proc/{id}/stat")).ok()?;
-        // The name in parentheses may hold spaces.
+        // The process name, in parentheses, may contain spaces.
         let after_name = stat.rsplit_once(") ")?.1;
         let fields: Vec<&str> = after_name.split(' ').collect();
         let ticks = |i: usize| fields.get(i)?.parse::<f64>().ok();
--- a/standin/src/load/writers.rs
+++ b/standin/src/load/writers.rs
@@ -1,4 +1,4 @@
-//! Sessions that write entries and read them back, recorded as a history.
+//! Sessions that write rows and read them back, and record a history.
 
 use std::{
     collections::BTreeMap,
@@ -13,47 +13,47 @@
 use super::caller::{Caller, SessionTransfer};
 use crate::history::{Event, History, WriteOutcome};
 
-/// Table that the sessions write to.
+/// Statement that creates the table for the sessions.
 pub const TABLE_SQL: &str = "CREATE TABLE entries (key TEXT NOT NULL, half INTEGER)";
-/// Writes of a session between two transactions of a pair.
+/// Number of writes of a session per transaction that writes two rows.
 const PAIR_EVERY: usize = 5;
 /// Pause after a failed request.
-const PAUSE: Duration = Duration::from_millis(20);
+const RETRY_PAUSE: Duration = Duration::from_millis(20);
 
-/// What the sessions do.
+/// Workload of the sessions.
 #[derive(Clone, Debug)]
 pub struct WritersPlan {
-    /// Sessions at once.
+    /// Number of concurrent sessions.
     pub sessions: usize,
-    /// Writes of each session; it stops earlier when told to.
+    /// Number of writes of each session, unless it is stopped before.
     pub writes: usize,
-    /// Whether every request uses another proxy.
+    /// Whether every request uses the next proxy.
     pub switches_proxy: bool,
-    /// How the session is carried.
+    /// How the session is transferred between proxies.
     pub transfer: SessionTransfer,
     /// Pause between two writes of a session.
-    pub pace: Duration,
+    pub pause: Duration,
     /// Prefix of the keys.
     pub prefix: String,
 }
 
-/// When writes ended, and how.
+/// Results and events of all sessions.
 #[derive(Clone, Debug, Default)]
 pub struct WriteLog {
-    /// Times of acknowledged writes since the start.
-    pub done: Vec<Duration>,
-    /// Failures by SQLSTATE and number.
+    /// Time of each acknowledged write since the start.
+    pub acknowledged_at: Vec<Duration>,
+    /// Number of failed requests, by SQLSTATE and error number.
     pub failures: BTreeMap<String, usize>,
-    /// Events for the checker.
+    /// Events for the history checker.
     pub events: Vec<Event>,
 }
 
-/// A running load.
+/// A running workload.
 pub struct Writers {
     log: Arc<Mutex<WriteLog>>,
     stop: Arc<AtomicBool>,
     tasks: Vec<tokio::task::JoinHandle<()>>,
-    /// Start of the clock of [`WriteLog::done`].
+    /// Start of the workload, from which [`WriteLog::acknowledged_at`] counts.
     pub started: Instant,
 }
 
@@ -66,7 +66,7 @@
         let tasks = (0..plan.sessions).map(|session| {
             let caller = Caller::new(addresses, service, session);
             let caller = match plan.switches_proxy {
-                true => caller.moving(plan.transfer),
+                true => caller.switching_proxies(plan.transfer),
                 false => caller,
             };
             let run = run_session(
@@ -87,21 +87,25 @@
         }
     }
 
-    /// Acknowledged writes so far.
+    /// Number of acknowledged writes so far.
     ///
     /// # Panics
     ///
     /// Panics when a session panicked.
     pub fn acknowledged(&self) -> usize {
-        self.log.lock().expect("no session panics").done.len()
+        self.log
+            .lock()
+            .expect("no session panics")
+            .acknowledged_at
+            .len()
     }
 
-    /// Lets the sessions finish all their writes.
+    /// Waits until the sessions have done all their writes.
     pub async fn finish(self) -> WriteLog {
         self.collect().await
     }
 
-    /// Stops the sessions after the request that each is in.
+    /// Stops each session before its next write and waits for its end.
     pub async fn stop(self) -> WriteLog {
         self.stop.store(true, Ordering::Relaxed);
         self.collect().await
@@ -109,7 +113,7 @@
 
     async fn collect(self) -> WriteLog {
         for task in self.tasks {
-            // A panic shows as missing writes.
+            // A session that panicked shows as missing writes.
             let _ = task.await;
         }
         std::mem::take(&mut *self.log.lock().expect("no session panics"))
@@ -140,26 +144,26 @@
             key: key.clone(),
             outcome,
         };
-        note(&log, started, event, written.as_ref().err());
+        record(&log, started, event, written.as_ref().err());
         if written.is_err() {
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_PAUSE).await;
             continue;
         }
         let sql = format!("SELECT count(*) FROM entries WHERE key = '{key}'");
         if let Ok(values) = caller.run(&sql).await {
             let seen = values.first().and_then(|v| v.parse().ok()).unwrap_or(0);
-            note(&log, started, Event::Read { session, key, seen }, None);
+            record(&log, started, Event::Read { session, key, seen }, None);
         }
         if number % PAIR_EVERY == 0 && !plan.switches_proxy {
             run_pair(&mut caller, session, number, &plan.prefix, &log, started).await;
         }
-        if !plan.pace.is_zero() {
-            tokio::time::sleep(plan.pace).await;
+        if !plan.pause.is_zero() {
+            tokio::time::sleep(plan.pause).await;
         }
     }
 }
 
-/// Writes two rows in one transaction and counts them at once afterwards.
+/// Writes two rows in one transaction and then counts them in one statement.
 async fn run_pair(
     caller: &mut Caller,
     session: usize,
@@ -180,37 +184,38 @@
         outcome = caller.run("COMMIT").await.map(|_| ());
     }
     if outcome.is_err() {
-        // Whether it was open or not, it must not be open for what follows.
+        // No transaction may stay open for the following statements, whether or
+        // not one was begun.
         let _ = caller.run("ROLLBACK").await;
     }
     let sql = format!("SELECT count(*) FROM entries WHERE key LIKE '{key}-%'");
     if let Ok(values) = caller.run(&sql).await {
         let rows_seen = values.first().and_then(|v| v.parse().ok()).unwrap_or(0);
         let failed = outcome.as_ref().err();
-        note(log, started, Event::Pair { session, rows_seen }, failed);
+        record(log, started, Event::Pair { session, rows_seen }, failed);
     }
 }
 
-fn note(
+fn record(
     log: &Mutex<WriteLog>,
     started: Instant,
     event: Event,
     failed: Option<&super::caller::RequestError>,
 ) {
     let mut log = log.lock().expect("no session panics");
-    let is_done = matches!(
+    let is_acknowledged = matches!(
         event,
         Event::Write {
             outcome: WriteOutcome::Done,
             ..
         }
     );
-    if is_done {
-        log.done.push(started.elapsed());
+    if is_acknowledged {
+        log.acknowledged_at.push(started.elapsed());
     }
     if let Some(failed) = failed {
-        let number = failed.text.split(':').next().unwrap_or_default();
-        let label = format!("{} {number}", failed.state);
+        let number = failed.message.split(':').next().unwrap_or_default();
+        let label = format!("{} {number}", failed.code);
         *log.failures.entry(label).or_default() += 1;
     }
     log.events.push(event);
@@ -218,19 +223,24 @@
 
 impl WriteLog {
     /// Longest time without an acknowledged write after `since`.
-    pub fn gap_after(&self, since: Duration) -> Duration {
-        let mut times: Vec<Duration> = self.done.iter().copied().filter(|t| *t >= since).collect();
+    pub fn longest_gap_after(&self, since: Duration) -> Duration {
+        let mut times: Vec<Duration> = self
+            .acknowledged_at
+            .iter()
+            .copied()
+            .filter(|t| *t >= since)
+            .collect();
         times.sort();
-        let mut before = since;
+        let mut previous = since;
         let mut longest = Duration::ZERO;
         for time in times {
-            longest = longest.max(time - before);
-            before = time;
+            longest = longest.max(time - previous);
+            previous = time;
         }
         longest
     }
 
-    /// History with the keys that the primary holds in the end.
+    /// History with the keys that the primary stores at the end.
     pub fn history(&self, stored: Vec<String>) -> History {
         History {
             events: self.events.clone(),
--- a/tests/failover.rs
+++ b/tests/failover.rs
@@ -62,7 +62,7 @@
         writes: usize::MAX,
         switches_proxy: false,
         transfer: SessionTransfer::Token,
-        pace: Duration::from_millis(2),
+        pause: Duration::from_millis(2),
         prefix: "w".into(),
     };
     let writers = Writers::start(&addresses, &bench.service(0), &plan);
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -38,7 +38,7 @@
         writes: usize::MAX,
         switches_proxy,
         transfer,
-        pace: Duration::from_millis(1),
+        pause: Duration::from_millis(1),
         prefix: "w".into(),
     }
 }
