--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -38,7 +38,7 @@
         writes: usize::MAX,
         switches_proxy,
         transfer,
-        pace: Duration::from_millis(1),
+        pause: Duration::from_millis(1),
         prefix: "w".into(),
     }
 }
@@ -104,7 +104,7 @@
     assert_eq!(violations, Vec::<Violation>::new(), "{:?}", log.failures);
     let budget = bench.settings.connections as usize;
     for member in &bench.endpoints[0] {
-        let peak = member.counts().unwrap().peak;
+        let peak = member.connection_counts().unwrap().peak;
         assert!(peak <= budget, "{peak} connections of {budget}");
     }
 }
