--- a/standin/src/bench/mod.rs
+++ b/standin/src/bench/mod.rs
@@ -1,5 +1,6 @@
 //! Test bench: runs the stand-ins and proxies as processes on loopback, for
-//! tests, the demo and measurements. It kills only processes that it started.
+//! tests, the demo and measurements. It ends only processes that it
+//! started, by process id.
 
 mod endpoint;
 mod files;
--- a/standin/src/endpoint/member.rs
+++ b/standin/src/endpoint/member.rs
@@ -61,8 +61,8 @@
     /// Statements, other than transaction control, run on connections from
     /// foxtailknot.
     pub statements: AtomicUsize,
-    /// Whether the member leaves all requests unanswered, except the calls that
-    /// inject faults.
+    /// Whether the member leaves all requests unanswered except `dbgroup_cut` and
+    /// `dbgroup_silence`.
     pub is_unresponsive: AtomicBool,
     state: Mutex<State>,
     committed: Notify,
