--- a/src/decide/route.rs
+++ b/src/decide/route.rs
@@ -74,7 +74,7 @@
     /// Compute a barrier first, because the session's position is unknown.
     Barrier,
     /// No member can serve the read now.
-    Nobody,
+    NoMember,
 }
 
 /// Chooses the member that serves a read.
@@ -162,6 +162,6 @@
 fn to_primary(primary: Option<usize>, reason: Reason) -> Decision {
     match primary {
         Some(primary) => Decision::Member(primary, reason),
-        None => Decision::Nobody,
+        None => Decision::NoMember,
     }
 }
--- a/tests/decide_reads.rs
+++ b/tests/decide_reads.rs
@@ -153,7 +153,7 @@
         route::Decision::Member(0, Reason::ReplicasBehind) },
     a_replaced_primary_does_not_serve = {
         [primary(0, 90, 1), silent(replica(1, 0, 0)), silent(replica(1, 0, 0))], 0, 0,
-        route::Decision::Nobody },
+        route::Decision::NoMember },
 )]
 fn routes(
     members: [MemberView; 3],
