--- a/src/decide/leadership.rs
+++ b/src/decide/leadership.rs
@@ -6,7 +6,7 @@
 /// A member's report about its term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TermReport {
-    /// Time the question was sent, in microseconds.
+    /// Time at which the report was requested, in microseconds.
     pub asked_us: u64,
     /// Term of the member, or the higher term of a replacement of the primary
     /// that is in progress and has fenced the member.
--- a/src/decide/member.rs
+++ b/src/decide/member.rs
@@ -64,12 +64,12 @@
     }
 }
 
-/// A status report with the times of the question and the answer.
+/// A status report with the times of the status query and the answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Observation {
     /// The reported status.
     pub status: MemberStatus,
-    /// Time at which the question was sent, in milliseconds.
+    /// Time at which the query was sent, in milliseconds.
     pub asked_ms: u64,
     /// Time at which the answer arrived, in milliseconds.
     pub answered_ms: u64,
@@ -82,7 +82,7 @@
     }
 }
 
-/// Whether a question sent at `asked_ms` came after an event at `event_ms`.
+/// Whether a status query sent at `asked_ms` came after an event at `event_ms`.
 /// Within the same millisecond the order is unknown, so that does not count.
 pub fn asked_after(asked_ms: u64, event_ms: u64) -> bool {
     asked_ms > event_ms
@@ -97,7 +97,7 @@
     pub is_near: bool,
     /// Latest report.
     pub observation: Option<Observation>,
-    /// Number of consecutive questions without an answer.
+    /// Number of consecutive status queries without an answer.
     pub failures: u32,
     /// Whether the member is leaving and gets no new requests.
     pub is_leaving: bool,
@@ -111,7 +111,7 @@
         self.answers() && !self.is_leaving
     }
 
-    /// Whether it has answered the latest question.
+    /// Whether it has answered the latest status query.
     pub fn answers(&self) -> bool {
         self.failures == 0 && self.observation.is_some()
     }
--- a/src/decide/takeover.rs
+++ b/src/decide/takeover.rs
@@ -121,14 +121,14 @@
     pub is_leaving: bool,
     /// Time for which it has not answered, in milliseconds.
     pub silent_ms: u64,
-    /// Number of consecutive questions that it did not answer.
+    /// Number of consecutive probes that it did not answer.
     pub failures: u32,
     /// Time for which commits have been stuck although it answers, in
     /// milliseconds.
     pub stuck_ms: u64,
-    /// Time for which replicas have been fenced by an earlier attempt and
-    /// receive nothing, in milliseconds.
-    pub held_ms: u64,
+    /// Time for which replicas have been fenced by an earlier attempt, in
+    /// milliseconds.
+    pub fenced_ms: u64,
     /// Time for which no primary has been known, in milliseconds.
     pub missing_ms: u64,
     /// Whether another member answers; if none does, this VM is cut off itself.
@@ -205,8 +205,7 @@
     /// Time without an answer after which a primary counts as failed, in
     /// milliseconds.
     pub silent_ms: u64,
-    /// Minimum number of unanswered questions before a primary counts as
-    /// failed.
+    /// Minimum number of unanswered probes before a primary counts as failed.
     pub failures: u32,
     /// Time after which waiting commits count as stuck, in milliseconds.
     pub stuck_ms: u64,
@@ -234,5 +233,5 @@
     if health.stuck_ms >= settings.stuck_ms {
         return Some(Reason::Stuck);
     }
-    (health.held_ms >= settings.unfinished_ms).then_some(Reason::Unfinished)
+    (health.fenced_ms >= settings.unfinished_ms).then_some(Reason::Unfinished)
 }
--- a/src/relay/answer.rs
+++ b/src/relay/answer.rs
@@ -74,8 +74,9 @@
     pub term: u64,
     /// Last position that the member has received.
     pub received: Position,
-    /// Term below which it was told to receive nothing; zero for none.
-    pub held_term: u64,
+    /// Term that it was fenced for: it receives nothing from a primary of a lower
+    /// term. Zero if it is not fenced.
+    pub fenced_term: u64,
     /// Replication lag behind its primary.
     pub lag_ms: u64,
     /// Requests that it is processing.
--- a/src/relay/codec.rs
+++ b/src/relay/codec.rs
@@ -78,12 +78,12 @@
     Reset,
     /// Requests the member's report.
     Status,
-    /// Tells a replica to receive nothing from a primary of a lower term.
-    Hold {
+    /// Fences a replica: it stops receiving from a primary of a lower term.
+    Fence {
         /// The term.
         term: u64,
     },
-    /// Lets a held replica receive again.
+    /// Lets a fenced replica receive again.
     Resume,
     /// Demotes a primary of a lower term to a replica.
     StepDown {
--- a/src/relay/member.rs
+++ b/src/relay/member.rs
@@ -111,8 +111,8 @@
     pub mean_ms: f64,
     /// Time until which it counts as behind, in milliseconds.
     pub behind_until_ms: u64,
-    /// Time since which a takeover has held it from receiving, in microseconds.
-    pub held_since_us: Option<u64>,
+    /// Time since which it is fenced by a takeover, in microseconds.
+    pub fenced_since_us: Option<u64>,
 }
 
 impl Member {
@@ -145,7 +145,7 @@
             open_after_ms: 0,
             mean_ms: INITIAL_MEAN_MS[distance.min(2) as usize],
             behind_until_ms: 0,
-            held_since_us: None,
+            fenced_since_us: None,
         }
     }
 
--- a/src/relay/message.rs
+++ b/src/relay/message.rs
@@ -185,7 +185,7 @@
     },
     /// A commit was acknowledged: commits at the primary are not stuck.
     Committed,
-    /// The member refused a statement because it does not lead.
+    /// The member refused a statement because it is not the primary.
     NotPrimary {
         /// Id of the member.
         member: Name,
--- a/src/relay/options.rs
+++ b/src/relay/options.rs
@@ -29,9 +29,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display, strum::IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
 pub enum PromoteOutcome {
-    /// The member will lead.
+    /// The member will become the primary.
     Accepted,
-    /// The member can't lead.
+    /// The member can't become the primary.
     Refused,
     /// No usable answer came; the member may have been promoted.
     Unknown,
--- a/src/relay/service/watch.rs
+++ b/src/relay/service/watch.rs
@@ -42,7 +42,7 @@
     }
 
     /// Treats a member as a replica until its next report, after it refused a
-    /// statement because it does not lead.
+    /// statement because it is not the primary.
     pub(super) fn not_primary(&mut self, id: &Name) {
         if let Some(member) = self.members.get_mut(id)
             && let Some((_, report)) = &mut member.report
@@ -73,9 +73,9 @@
         // The last report of a member that no longer answers must not delay a
         // takeover.
         let answering = self.members.values().filter(|m| is_recent(m));
-        let held = answering.filter_map(|m| m.held_since_us).min();
+        let fenced = answering.filter_map(|m| m.fenced_since_us).min();
         let mut health = PrimaryHealth {
-            held_ms: held.map_or(0, |at| now_us.saturating_sub(at) / 1_000),
+            fenced_ms: fenced.map_or(0, |at| now_us.saturating_sub(at) / 1_000),
             stuck_ms: self
                 .stuck_commit
                 .map_or(0, |commit| commit.stuck_ms(now_ms)),
@@ -128,13 +128,13 @@
     }
 
     /// While the primary is suspected, or another VM may be replacing it, probes
-    /// all members every 100 ms until it is clear which one leads.
+    /// all members every 100 ms until it is clear which one is the primary.
     fn probe_while_suspected(&mut self, health: &PrimaryHealth) {
         let is_suspected = !health.is_known
             || health.failures > 0
             || health.is_leaving
             || self.stuck_commit.is_some()
-            || health.held_ms > 0;
+            || health.fenced_ms > 0;
         if !is_suspected {
             return;
         }
@@ -175,11 +175,11 @@
             primary = self.primary.as_deref().unwrap_or("none"),
             reason = reason.to_string(), silent_ms = health.silent_ms,
             failures = health.failures, stuck_ms = health.stuck_ms,
-            held_ms = health.held_ms, term = self.highest_term();
+            held_ms = health.fenced_ms, term = self.highest_term();
             "replacing the primary"
         );
         let reports = self.members.values().filter_map(|m| m.report);
-        let highest = reports.map(|(_, r)| r.term.max(r.held_term)).max();
+        let highest = reports.map(|(_, r)| r.term.max(r.fenced_term)).max();
         let plan = TakeoverPlan {
             context: self.context.clone(),
             members: self.group_members(),
--- a/src/relay/takeover.rs
+++ b/src/relay/takeover.rs
@@ -37,8 +37,8 @@
 /// The same when a member has restarted under an id that is not known yet: it may
 /// hold commits that the others lack, and is listed within about a second.
 const RESTART_ROUNDS: u32 = 12;
-/// Longest time from the claim to the promoted member's report that it leads, in
-/// milliseconds.
+/// Longest time from the claim to the promoted member's report that it is
+/// primary, in milliseconds.
 const LEADERSHIP_MS: u64 = 4_800;
 /// Latest time after the claim at which replicas are ordered to resume, in
 /// milliseconds: with the order's own time-out, less than the claim lasts.
@@ -197,8 +197,8 @@
 /// Outcome of the fencing of one member.
 enum FenceOutcome {
     Fenced(Name, Fenced),
-    /// The member leads, but is not the primary to be replaced.
-    Leads,
+    /// The member is primary, but not the one to be replaced.
+    IsPrimary,
     /// Another member answers at its address, since recently: this one has probably
     /// restarted under a new id.
     Restarted,
@@ -211,7 +211,7 @@
     Current,
     /// A member has restarted under an id that the plan does not know.
     MemberRestarted,
-    /// Another member leads already.
+    /// Another member is primary already.
     Outdated,
 }
 
@@ -226,7 +226,7 @@
             FenceOutcome::Fenced(member, answer) => {
                 fenced.insert(member, answer);
             }
-            FenceOutcome::Leads => return PlanState::Outdated,
+            FenceOutcome::IsPrimary => return PlanState::Outdated,
             FenceOutcome::Restarted => state = PlanState::MemberRestarted,
             FenceOutcome::NotFenced => {}
         }
@@ -238,7 +238,7 @@
     let term = plan.term;
     let order = match group_member.is_primary {
         true => MemberRequest::StepDown { term },
-        false => MemberRequest::Hold { term },
+        false => MemberRequest::Fence { term },
     };
     let member = &group_member.target.member;
     let report = match order_member(plan, &group_member.target, &order).await {
@@ -269,18 +269,18 @@
         report = format!("{report:?}"); "member not fenced"
     );
     match report.role == Role::Primary && !group_member.is_primary {
-        true => FenceOutcome::Leads,
+        true => FenceOutcome::IsPrimary,
         false => FenceOutcome::NotFenced,
     }
 }
 
 /// The primary is fenced once it has stepped down to a replica, a replica once it
-/// has stopped receiving. A replica that turns out to lead is not fenced.
+/// has stopped receiving. A replica that turns out to be primary is not fenced.
 fn is_fenced(plan: &TakeoverPlan, group_member: &GroupMember, report: &StatusReport) -> bool {
     if report.role == Role::Primary {
         return false;
     }
-    group_member.is_primary || report.held_term >= plan.term
+    group_member.is_primary || report.fenced_term >= plan.term
 }
 
 fn candidates(
@@ -337,7 +337,7 @@
     outcome
 }
 
-/// Waits until the member reports that it leads.
+/// Waits until the member reports that it is primary.
 async fn await_leadership(plan: &TakeoverPlan, member: &Name, started_ms: u64) {
     let group_member = plan.members.iter().find(|m| m.target.member == *member);
     let Some(group_member) = group_member else {
@@ -363,8 +363,8 @@
         );
         return;
     }
-    let held = plan.members.iter().filter(|m| !m.is_primary && !m.is_gone);
-    let orders = held.map(|m| async move {
+    let replicas = plan.members.iter().filter(|m| !m.is_primary && !m.is_gone);
+    let orders = replicas.map(|m| async move {
         let result = order_member(plan, &m.target, &MemberRequest::Resume).await;
         if let Err(error) = result {
             decision!(
--- a/tests/decide_relay.rs
+++ b/tests/decide_relay.rs
@@ -302,7 +302,7 @@
         PrimaryHealth { is_leaving: true, connects_to_any_member: false, ..healthy_primary() }, None },
     leaving = { PrimaryHealth { is_leaving: true, ..healthy_primary() }, Some(Reason::Leaving) },
     stuck = { PrimaryHealth { stuck_ms: 900, ..healthy_primary() }, Some(Reason::Stuck) },
-    left_unfinished = { PrimaryHealth { held_ms: 2_500, ..healthy_primary() }, Some(Reason::Unfinished) },
+    left_unfinished = { PrimaryHealth { fenced_ms: 2_500, ..healthy_primary() }, Some(Reason::Unfinished) },
     missing = {
         PrimaryHealth { is_known: false, missing_ms: 1_200, ..healthy_primary() }, Some(Reason::NoPrimary) },
     not_missing_for_long = { PrimaryHealth { is_known: false, missing_ms: 90, ..healthy_primary() }, None },
