--- a/src/relay/message.rs
+++ b/src/relay/message.rs
@@ -35,7 +35,7 @@
 }
 
 impl Purpose {
-    /// Freshness that the member's log must have, if limited.
+    /// Freshness that the member's log must have, if any is required.
     pub fn freshness(&self) -> Option<Freshness> {
         match self {
             Purpose::Forward(_) => None,
--- a/src/relay/service.rs
+++ b/src/relay/service.rs
@@ -280,11 +280,11 @@
     /// member.
     fn find_primary(&self) -> Option<Name> {
         let members = self.members.iter();
-        let primary = members
+        let candidate = members
             .filter_map(|(id, m)| m.led_term().map(|term| (term, id)))
             .max();
         let highest = self.highest_term();
-        match primary {
+        match candidate {
             Some((term, id)) if term >= highest => Some(id.clone()),
             _ => None,
         }
--- a/src/relay/session/transact.rs
+++ b/src/relay/session/transact.rs
@@ -168,7 +168,7 @@
         let member = connection.member.clone();
         let writes = is_write(statement, prepared_statement.as_deref());
         let needs_leadership_check = !writes
-            && !transaction.is_leader_confirmed
+            && !transaction.is_leadership_confirmed
             && route.consistency == Consistency::Primary;
         let leadership_check = needs_leadership_check
             .then(|| self.check_leadership(service, &member, transaction.began_us));
@@ -211,7 +211,7 @@
                 self.release(service, connection, true, None);
                 return aborted("the primary is not proved to lead");
             }
-            transaction.is_leader_confirmed = true;
+            transaction.is_leadership_confirmed = true;
         }
         transaction.connection = Some(connection);
         Reply::Answer(answer)
--- a/src/relay/transaction.rs
+++ b/src/relay/transaction.rs
@@ -18,7 +18,7 @@
     /// Whether a write was sent to the member.
     pub has_written: bool,
     /// Whether it is confirmed that the member led when the transaction began.
-    pub is_leader_confirmed: bool,
+    pub is_leadership_confirmed: bool,
     /// Whether it failed and waits for a rollback or commit of the caller.
     pub is_failed: bool,
 }
@@ -33,7 +33,7 @@
             connection: None,
             led_term: None,
             has_written: false,
-            is_leader_confirmed: false,
+            is_leadership_confirmed: false,
             is_failed: false,
         }
     }
