--- a/src/relay/answer.rs
+++ b/src/relay/answer.rs
@@ -75,8 +75,8 @@
     /// Last position that the member has received.
     pub received: Position,
     /// Term that it was fenced for: it receives nothing from a primary of a lower
-    /// term. Zero if it is not fenced.
-    pub fenced_term: u64,
+    /// term. Zero if it is not fenced. The log shows it under this name.
+    pub held_term: u64,
     /// Replication lag behind its primary.
     pub lag_ms: u64,
     /// Requests that it is processing.
--- a/src/relay/service/probe.rs
+++ b/src/relay/service/probe.rs
@@ -140,7 +140,7 @@
                 member.failures = 0;
                 member.silent_since_us = None;
                 member.displaced_since_ms = None;
-                let is_fenced = report.fenced_term > report.term;
+                let is_fenced = report.held_term > report.term;
                 member.fenced_since_us = match is_fenced {
                     true => member.fenced_since_us.or(Some(asked_us)),
                     false => None,
@@ -225,7 +225,7 @@
         let reports = others.filter_map(|(_, m)| m.report);
         let term_reports = reports.map(|(asked_us, report)| TermReport {
             asked_us,
-            term: report.term.max(report.fenced_term),
+            term: report.term.max(report.held_term),
         });
         check_leadership(term_reports, since_us, self.reports_needed())
     }
--- a/src/relay/service/watch.rs
+++ b/src/relay/service/watch.rs
@@ -179,7 +179,7 @@
             "replacing the primary"
         );
         let reports = self.members.values().filter_map(|m| m.report);
-        let highest = reports.map(|(_, r)| r.term.max(r.fenced_term)).max();
+        let highest = reports.map(|(_, r)| r.term.max(r.held_term)).max();
         let plan = TakeoverPlan {
             context: self.context.clone(),
             members: self.group_members(),
--- a/src/relay/takeover.rs
+++ b/src/relay/takeover.rs
@@ -280,7 +280,7 @@
     if report.role == Role::Primary {
         return false;
     }
-    group_member.is_primary || report.fenced_term >= plan.term
+    group_member.is_primary || report.held_term >= plan.term
 }
 
 fn candidates(
