--- a/src/relay/answer.rs
+++ b/src/relay/answer.rs
@@ -74,7 +74,8 @@
     pub term: u64,
     /// Last position that the member has received.
     pub received: Position,
-    /// Term below which it was told to receive nothing; zero for none.
+    /// Term that it was fenced for: it receives nothing from a primary of a lower
+    /// term. Zero if it is not fenced. The log shows it under this name.
     pub held_term: u64,
     /// Replication lag behind its primary.
     pub lag_ms: u64,
--- a/src/relay/message.rs
+++ b/src/relay/message.rs
@@ -35,7 +35,7 @@
 }
 
 impl Purpose {
-    /// Freshness that the member's log must have, if limited.
+    /// Freshness that the member's log must have, if any is required.
     pub fn freshness(&self) -> Option<Freshness> {
         match self {
             Purpose::Forward(_) => None,
@@ -185,7 +185,7 @@
     },
     /// A commit was acknowledged: commits at the primary are not stuck.
     Committed,
-    /// The member refused a statement because it does not lead.
+    /// The member refused a statement because it is not the primary.
     NotPrimary {
         /// Id of the member.
         member: Name,
--- a/src/relay/service/probe.rs
+++ b/src/relay/service/probe.rs
@@ -140,9 +140,9 @@
                 member.failures = 0;
                 member.silent_since_us = None;
                 member.displaced_since_ms = None;
-                let is_held = report.held_term > report.term;
-                member.held_since_us = match is_held {
-                    true => member.held_since_us.or(Some(asked_us)),
+                let is_fenced = report.held_term > report.term;
+                member.fenced_since_us = match is_fenced {
+                    true => member.fenced_since_us.or(Some(asked_us)),
                     false => None,
                 };
                 member.report = Some((asked_us, report));
