--- a/src/decide/dispatch.rs
+++ b/src/decide/dispatch.rs
@@ -67,9 +67,9 @@
 /// Whether a VM is cut off from a service, given that `failing` of its
 /// `members` do not answer.
 ///
-/// A VM that reaches only a minority can neither confirm which member is
-/// primary nor get a commit acknowledged, but other VMs may be able to, so
-/// callers are sent there at once.
+/// A VM that reaches only a minority, for example one member of three, can
+/// neither confirm which member is primary nor get a commit acknowledged, but
+/// other VMs may be able to, so callers are sent there at once.
 pub fn is_cut_off(members: usize, failing: usize) -> bool {
     failing * 2 > members
 }
--- a/src/decide/membership.rs
+++ b/src/decide/membership.rs
@@ -184,8 +184,9 @@
         });
     }
 
-    /// Chooses a VM to probe, mostly in this zone. Dead VMs are included so
-    /// that a healed partition is noticed.
+    /// Chooses a VM to probe. Most probes stay in this zone and a few go to other
+    /// zones. Dead VMs are not excluded: one is chosen now and then, so that a
+    /// healed partition is noticed.
     pub fn next_probe(&self, rng: &mut SmallRng) -> Option<Name> {
         let go_far = rng.random_ratio(self.settings.far_percent.min(100), 100);
         let is_wanted = |peer: &Peer| (peer.place.zone == self.own_place.zone) != go_far;
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -85,7 +85,8 @@
 fn a_lost_answer_is_resolved_by_the_change_id() {
     let bench = start(1);
     let file = write(&bench, "next.yaml", "queue_deadline_ms: 4000");
-    // The first write takes effect, but its answer is lost.
+    // The lost answer may be to the write of an object or of the head row. The
+    // write itself takes effect in both cases.
     bench.set_faults(&Faults {
         lose_answers: 1,
         ..Faults::default()
